--- a/src/control/desk.ts
+++ b/src/control/desk.ts
@@ -87,9 +87,9 @@
         .with({ kind: 'accept' }, async ({ serial, ballot, term, isChosen }) =>
           vote(serial, await register.accept(ballot, term, isChosen)),
         )
-        .with({ kind: 'append' }, (append) => needs.backup.take(append))
-        .with({ kind: 'offer' }, (offer) => needs.backup.locate(offer))
-        .with({ kind: 'piece' }, (piece) => needs.backup.receive(piece))
+        .with({ kind: 'append' }, (append) => needs.backup.handleAppend(append))
+        .with({ kind: 'offer' }, (offer) => needs.backup.handleOffer(offer))
+        .with({ kind: 'piece' }, (piece) => needs.backup.handlePiece(piece))
         .with({ kind: 'yield' }, async ({ serial }) => {
           return done(serial, needs.onYield() ?? '');
         })
--- a/src/control/life/leaving.ts
+++ b/src/control/life/leaving.ts
@@ -73,8 +73,8 @@
         return '';
       }
       if (life.primary) {
-        successor = life.primary.newcomer() ?? successor;
-        return (await life.primary.yield()) || 'leadership is handed over';
+        successor = life.primary.joiningCore() ?? successor;
+        return (await life.primary.transferLeadership()) || 'leadership is handed over';
       }
       return askForRelease(life, term, successor, Moment.left(until));
     };
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -243,7 +243,7 @@
     gauge(
       'cores_behind',
       'cores that lack the acknowledged state, told by the primary',
-      () => running.leading()?.behind() ?? 0,
+      () => running.leading()?.laggingMembers() ?? 0,
     );
     gauge('transfer_bytes_sent', 'bytes of snapshots and tails sent to cores', () => counts().bytesSent);
     gauge('transfer_bytes_received', 'bytes of snapshots and tails taken in', () => counts().bytesReceived);
--- a/src/replica/acknowledgement.ts
+++ b/src/replica/acknowledgement.ts
@@ -5,8 +5,8 @@
 import { State } from '../store/state.js';
 import type { Store } from '../store/store.js';
 import type { ChangeLog } from './change-log.js';
-import type { HandOver } from './hand-over.js';
 import type { Leadership } from './leadership.js';
+import type { LeadershipTransfer } from './leadership-transfer.js';
 import type { Replication } from './replication.js';
 
 /** The primary's acknowledged state. */
@@ -32,7 +32,7 @@
     readonly store: Store;
     readonly log: ChangeLog;
     readonly replication: Replication;
-    readonly handOver: HandOver;
+    readonly handOver: LeadershipTransfer;
     /** Told each state as it is acknowledged. */
     readonly publish: (state: State) => void;
   }): Acknowledgement {
--- a/src/replica/backup.ts
+++ b/src/replica/backup.ts
@@ -10,18 +10,18 @@
 import type { State } from '../store/state.js';
 import { Store } from '../store/store.js';
 import type { Frame } from '../wire/frame.js';
-import { Assembly } from './assembly.js';
 import { Payload } from './payload.js';
+import { TransferAssembly } from './transfer-assembly.js';
 import type { TransferMeter } from './transfer-meter.js';
 
 /** Answers the primary's requests to a member. */
 export type Backup = {
   /** Takes one change, or a whole state in one frame as primaries of earlier programs send it. */
-  readonly take: (frame: Extract<Frame.Request, { kind: 'append' }>) => Promise<Frame.Reply>;
+  readonly handleAppend: (frame: Extract<Frame.Request, { kind: 'append' }>) => Promise<Frame.Reply>;
   /** Tells which state is held and where the transfer offered goes on; refused only by the fence, and never late. */
-  readonly locate: (frame: Extract<Frame.Request, { kind: 'offer' }>) => Promise<Frame.Reply>;
+  readonly handleOffer: (frame: Extract<Frame.Request, { kind: 'offer' }>) => Promise<Frame.Reply>;
   /** Takes one piece of a transfer, and with the last one the whole of it. */
-  readonly receive: (frame: Extract<Frame.Request, { kind: 'piece' }>) => Promise<Frame.Reply>;
+  readonly handlePiece: (frame: Extract<Frame.Request, { kind: 'piece' }>) => Promise<Frame.Reply>;
 };
 
 export declare namespace Backup {
@@ -79,8 +79,8 @@
   fence: ReturnType<typeof fenceOf>,
   writer: ReturnType<typeof writerOf>,
 ) => {
-  const assembly = Assembly.of();
-  const take = (finished: Assembly.Finished, epoch: Epoch): Promise<string | undefined> =>
+  const assembly = TransferAssembly.of();
+  const take = (finished: TransferAssembly.Finished, epoch: Epoch): Promise<string | undefined> =>
     writer.inTurn(async () => {
       const { previous, target } = finished.transfer;
       const held = store.state();
@@ -95,7 +95,7 @@
     });
   return {
     offset: assembly.offset,
-    offer: (transfer: Assembly.Transfer): string | undefined => {
+    offer: (transfer: TransferAssembly.Transfer): string | undefined => {
       if (!Stamp.isNewer(transfer.target, store.state().stamp)) return 'a newer state is held';
       return assembly.begin(transfer) ? undefined : 'a newer transfer is under way';
     },
@@ -145,19 +145,19 @@
       isWriting: writer.isWriting(),
     });
     return {
-      take: (frame) =>
+      handleAppend: (frame) =>
         writer.inTurn(async () => {
           const why = await append(frame);
           return { kind: 'appended', ...standing(frame.serial, why) };
         }),
-      async locate(frame) {
+      async handleOffer(frame) {
         const refusal = fence.refuse(Epoch.of(frame.epoch));
         const mayBegin = refusal === undefined && frame.length > 0 && !writer.isWriting();
         const unwanted = mayBegin ? receiver.offer(frame) : undefined;
         const reply = position(frame.serial, frame.digest, refusal);
         return unwanted === undefined ? reply : { ...reply, why: unwanted };
       },
-      async receive(frame) {
+      async handlePiece(frame) {
         const refusal = fence.refuse(Epoch.of(frame.epoch));
         const why = refusal ?? (await receiver.receive(frame));
         return position(frame.serial, frame.digest, why);
--- a/src/replica/follower.ts
+++ b/src/replica/follower.ts
@@ -11,7 +11,7 @@
 import type { Frame } from '../wire/frame.js';
 import { Protocol } from '../wire/protocol.js';
 import type { Leadership } from './leadership.js';
-import type { MemberCalls } from './member-calls.js';
+import type { MemberClient } from './member-client.js';
 import type { Payload } from './payload.js';
 import type { TransferSource } from './transfer-source.js';
 
@@ -36,7 +36,7 @@
   type Needs = {
     readonly core: () => Frame.Core;
     readonly leadership: Leadership;
-    readonly calls: MemberCalls;
+    readonly calls: MemberClient;
     readonly source: TransferSource;
     /** The state that the member is taken to hold until it tells. */
     readonly presumed: Stamp | undefined;
--- a/src/replica/followers.ts
+++ b/src/replica/followers.ts
@@ -7,7 +7,7 @@
 import { Protocol } from '../wire/protocol.js';
 import { Follower } from './follower.js';
 import type { Leadership } from './leadership.js';
-import { MemberCalls } from './member-calls.js';
+import { MemberClient } from './member-client.js';
 import type { TransferMeter } from './transfer-meter.js';
 import type { TransferSource } from './transfer-source.js';
 
@@ -24,7 +24,7 @@
   readonly progress: (core: Frame.Core) => Follower.Progress;
 };
 
-type Member = { core: Frame.Core; readonly follower: Follower; readonly calls: MemberCalls };
+type Member = { core: Frame.Core; readonly follower: Follower; readonly calls: MemberClient };
 
 export const Followers = {
   of(needs: {
@@ -41,7 +41,7 @@
       let member = members.get(core.disk);
       if (!member) {
         const current = () => members.get(core.disk)?.core ?? core;
-        const calls = MemberCalls.of({ core: current, courierTo, meter });
+        const calls = MemberClient.of({ core: current, courierTo, meter });
         const presumed = leadership.backups().includes(core.disk) ? needs.first : undefined;
         const follower = Follower.of({ core: current, leadership, calls, source, presumed });
         member = { core, calls, follower };
--- a/src/replica/hand-over.ts
+++ b/src/replica/leadership-transfer.ts
@@ -8,13 +8,13 @@
 import type { Leadership } from './leadership.js';
 
 /** Hands the place over because of a failure of the own disk; always throws `unconfirmed`. */
-export type HandOver = (cause: unknown) => Promise<never>;
+export type LeadershipTransfer = (cause: unknown) => Promise<never>;
 
 const askWithin = 1200;
 /** How long a backup that agreed has for taking over, in milliseconds. */
 const takeOverWithin = 1000;
 
-export const HandOver = {
+export const LeadershipTransfer = {
   /** Asks the backups in their order to take over; resolves with the reason where none did. */
   async byRequest(needs: {
     readonly leadership: Leadership;
@@ -37,7 +37,7 @@
     readonly leadership: Leadership;
     readonly courierTo: (core: Frame.Core) => Courier | undefined;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
-  }): HandOver {
+  }): LeadershipTransfer {
     const { leadership } = needs;
     return async (cause) => {
       needs.note('own disk failure', { why: Failure.text(cause) });
--- a/src/replica/maintenance.ts
+++ b/src/replica/maintenance.ts
@@ -5,8 +5,8 @@
 import type { Frame } from '../wire/frame.js';
 import type { Acknowledgement } from './acknowledgement.js';
 import type { Followers } from './followers.js';
-import type { HandOver } from './hand-over.js';
 import type { Leadership } from './leadership.js';
+import type { LeadershipTransfer } from './leadership-transfer.js';
 import type { Replication } from './replication.js';
 
 /** Work between commits, in the queue that commits run in. */
@@ -24,7 +24,7 @@
     readonly leadership: Leadership;
     readonly followers: Followers;
     readonly replication: Replication;
-    readonly handOver: HandOver;
+    readonly handOver: LeadershipTransfer;
     readonly store: Store;
     readonly states: Acknowledgement;
   }): Maintenance {
--- a/src/replica/member-calls.ts
+++ b/src/replica/member-client.ts
@@ -6,27 +6,27 @@
 import type { Courier } from '../wire/courier.js';
 import type { Frame } from '../wire/frame.js';
 import { Protocol } from '../wire/protocol.js';
-import { Assembly } from './assembly.js';
 import type { Payload } from './payload.js';
+import { TransferAssembly } from './transfer-assembly.js';
 import type { TransferMeter } from './transfer-meter.js';
 
 /** Requests to one member; each rejects with `link` or `silence` where no answer came. */
-export type MemberCalls = {
+export type MemberClient = {
   readonly append: (
     epoch: Epoch,
     previous: Stamp,
     record: Uint8Array,
     whole: boolean,
-  ) => Promise<MemberCalls.Appended>;
+  ) => Promise<MemberClient.Appended>;
   /** Asks where the member stands, and offers it a payload where one is given. */
-  readonly offer: (epoch: Epoch, payload: Payload | undefined) => Promise<MemberCalls.Position>;
+  readonly offer: (epoch: Epoch, payload: Payload | undefined) => Promise<MemberClient.Position>;
   /** Sends the piece of the payload that begins at the offset. */
-  readonly piece: (epoch: Epoch, payload: Payload, offset: number) => Promise<MemberCalls.Position>;
+  readonly piece: (epoch: Epoch, payload: Payload, offset: number) => Promise<MemberClient.Position>;
   /** What the member knows of the frames; throws `link` before it has told. */
   readonly protocol: () => Protocol;
 };
 
-export declare namespace MemberCalls {
+export declare namespace MemberClient {
   type Appended = Extract<Frame.Reply, { kind: 'appended' }>;
   type Position = Extract<Frame.Reply, { kind: 'position' }>;
 }
@@ -37,12 +37,12 @@
 /** Short enough that votes behind it on the same link are not late: 75 ms at 7 Mbit/s. */
 const pieceLength = 64 * 1024;
 
-export const MemberCalls = {
+export const MemberClient = {
   of(needs: {
     readonly core: () => Frame.Core;
     readonly courierTo: (core: Frame.Core) => Courier | undefined;
     readonly meter: TransferMeter | undefined;
-  }): MemberCalls {
+  }): MemberClient {
     const courier = (): Courier => {
       const core = needs.core();
       const found = needs.courierTo(core);
@@ -52,7 +52,7 @@
     const unexpected = (kind: string) => Failure.of('frame', `unexpected ${kind}`);
     const ask = (request: Parameters<Courier['ask']>[0], length: number): Promise<Frame.Reply> =>
       courier().ask(request, answerWithin + length / slowestLink);
-    const position = async (...asked: Parameters<typeof ask>): Promise<MemberCalls.Position> => {
+    const position = async (...asked: Parameters<typeof ask>): Promise<MemberClient.Position> => {
       const reply = await ask(...asked);
       if (reply.kind !== 'position') throw unexpected(reply.kind);
       return reply;
@@ -78,7 +78,7 @@
       piece(epoch, { bytes: all, digest }, offset) {
         const bytes = all.subarray(offset, offset + pieceLength);
         needs.meter?.sent(bytes.length);
-        const check = Assembly.digestOf(bytes);
+        const check = TransferAssembly.digestOf(bytes);
         return position({ kind: 'piece', epoch, digest, offset, bytes, check }, bytes.length);
       },
       protocol() {
--- a/src/replica/membership-change.ts
+++ b/src/replica/membership-change.ts
@@ -17,7 +17,7 @@
   /** Releases a core that is about to end; resolves with the reason where it can't be released yet. */
   readonly leave: (core: Frame.Core, successor: Frame.Core | null) => Promise<string>;
   /** A core that asked to be taken in just now: one that is in touch, if there is any. */
-  readonly newcomer: () => Frame.Core | undefined;
+  readonly joiningCore: () => Frame.Core | undefined;
 };
 
 const replaceAfter = 2000;
@@ -80,7 +80,7 @@
         }
         return replace(old, joining);
       },
-      newcomer: () => newcomerInTouch() ?? newcomers()[0],
+      joiningCore: () => newcomerInTouch() ?? newcomers()[0],
       async leave(leaving, successor) {
         leadership.mustLead();
         if (!Term.has(leadership.term(), leaving.disk)) return '';
--- a/src/replica/payload.ts
+++ b/src/replica/payload.ts
@@ -4,7 +4,7 @@
 import { Stamp } from '../kinds/stamp.js';
 import { State } from '../store/state.js';
 import { Store } from '../store/store.js';
-import { Assembly } from './assembly.js';
+import { TransferAssembly } from './transfer-assembly.js';
 
 /** The bytes of a transfer and the state that they lead to. */
 export type Payload = {
@@ -41,7 +41,7 @@
   previous,
   target,
   bytes,
-  digest: Assembly.digestOf(bytes),
+  digest: TransferAssembly.digestOf(bytes),
 });
 
 export const Payload = {
@@ -51,7 +51,7 @@
   tail: (previous: Stamp, target: Stamp, records: readonly Uint8Array[]): Payload =>
     make(previous, target, join(records)),
   /** The state that the payload leads to from the state held; throws where it is not what was offered. */
-  apply(held: State, { transfer, bytes }: Assembly.Finished): State {
+  apply(held: State, { transfer, bytes }: TransferAssembly.Finished): State {
     const records = transfer.previous ? split(bytes) : [bytes];
     const changes = records.map((record) => Store.decode(record));
     let state = held;
--- a/src/replica/primary.ts
+++ b/src/replica/primary.ts
@@ -19,8 +19,8 @@
 import { Confirmation } from './confirmation.js';
 import type { Follower } from './follower.js';
 import { Followers } from './followers.js';
-import { HandOver } from './hand-over.js';
 import { Leadership } from './leadership.js';
+import { LeadershipTransfer } from './leadership-transfer.js';
 import { Maintenance } from './maintenance.js';
 import { MembershipChange } from './membership-change.js';
 import { Replication } from './replication.js';
@@ -51,15 +51,15 @@
   /** Releases a core that is about to end; resolves with the reason where it can't be released yet. */
   readonly leave: (core: Frame.Core, successor: Frame.Core | null) => Promise<string>;
   /** A core that asked to be taken in just now and is up. */
-  readonly newcomer: () => Frame.Core | undefined;
+  readonly joiningCore: () => Frame.Core | undefined;
   /** Lets a backup take over; resolves with the reason where none did. */
-  readonly yield: () => Promise<string>;
+  readonly transferLeadership: () => Promise<string>;
   /** Goes on under an epoch above that of the stamp. */
   readonly raiseEpoch: (above: Stamp) => Promise<void>;
   /** How far each other member of the term has followed. */
   readonly members: () => readonly Primary.Member[];
   /** How many members of the term have not confirmed the acknowledged state yet. */
-  readonly behind: () => number;
+  readonly laggingMembers: () => number;
   readonly depose: (why: string) => void;
   readonly deposed: Promise<string>;
 };
@@ -95,7 +95,7 @@
   const source = TransferSource.of(log);
   const followers = Followers.of({ leadership, courierTo, source, first, meter });
   const replication = Replication.of({ leadership, termChange, followers, losses, note });
-  const handOver = HandOver.of({ leadership, courierTo, note });
+  const handOver = LeadershipTransfer.of({ leadership, courierTo, note });
   const publish = (state: State) => needs.publish(state, leadership.term());
   const states = Acknowledgement.of({ leadership, store, log, replication, handOver, publish });
   const maintenance = Maintenance.of({ leadership, followers, replication, handOver, store, states });
@@ -153,7 +153,7 @@
     const yieldLeadership = async () => {
       leadership.mustLead();
       await states.resolve();
-      return HandOver.byRequest({ leadership, courierTo: needs.courierTo });
+      return LeadershipTransfer.byRequest({ leadership, courierTo: needs.courierTo });
     };
     const raiseEpoch = async (above: Stamp) => {
       leadership.mustLead();
@@ -187,14 +187,14 @@
       announce,
       join: (core) => turns.take(() => membership.join(core)),
       leave: (core, successor) => turns.take(() => membership.leave(core, successor)),
-      newcomer: membership.newcomer,
-      yield: () => turns.take(yieldLeadership),
+      joiningCore: membership.joiningCore,
+      transferLeadership: () => turns.take(yieldLeadership),
       members: () =>
         leadership
           .term()
           .cores.filter(({ disk }) => disk !== leadership.disk)
           .map(memberOf),
-      behind: catchUp.behind,
+      laggingMembers: catchUp.behind,
     };
   },
 };
--- a/src/replica/assembly.ts
+++ b/src/replica/transfer-assembly.ts
@@ -5,27 +5,27 @@
 import { Frame } from '../wire/frame.js';
 
 /** At most one transfer under way, the newest one offered. */
-export type Assembly = {
+export type TransferAssembly = {
   /** Begins a transfer, or goes on with it where it is under way; false where a newer one is. */
-  readonly begin: (transfer: Assembly.Transfer) => boolean;
+  readonly begin: (transfer: TransferAssembly.Transfer) => boolean;
   /** Adds the next piece of the transfer under way; any other is left aside. */
-  readonly add: (piece: Pick<Extract<Frame.Request, { kind: 'piece' }>, Assembly.PieceField>) => void;
+  readonly add: (piece: Pick<Extract<Frame.Request, { kind: 'piece' }>, TransferAssembly.PieceField>) => void;
   /** The bytes received of the transfer with this digest. */
   readonly offset: (digest: string) => number;
   /** The transfer under way, once all of its bytes are there. */
-  readonly finished: () => Assembly.Finished | undefined;
+  readonly finished: () => TransferAssembly.Finished | undefined;
   /** Forgets the transfer with this digest. */
   readonly end: (digest: string) => void;
 };
 
-export declare namespace Assembly {
+export declare namespace TransferAssembly {
   type PieceField = 'digest' | 'offset' | 'bytes' | 'check';
   type Transfer = Omit<Extract<Frame.Request, { kind: 'offer' }>, 'kind' | 'serial'>;
   type Finished = { readonly transfer: Transfer; readonly bytes: Buffer };
 }
 
 type UnderWay = {
-  readonly transfer: Assembly.Transfer;
+  readonly transfer: TransferAssembly.Transfer;
   readonly bytes: Buffer;
   readonly hash: Hash;
   length: number;
@@ -33,16 +33,16 @@
 
 const digestOf = (bytes: Uint8Array): string => createHash('sha256').update(bytes).digest('base64');
 
-export const Assembly = {
+export const TransferAssembly = {
   /** The digest of a piece or of a whole transfer. */
   digestOf,
-  of(): Assembly {
+  of(): TransferAssembly {
     let underWay: UnderWay | undefined;
-    const begin = (transfer: Assembly.Transfer) => {
+    const begin = (transfer: TransferAssembly.Transfer) => {
       const bytes = Buffer.allocUnsafe(transfer.length);
       underWay = { transfer, bytes, hash: createHash('sha256'), length: 0 };
     };
-    const isNewer = (transfer: Assembly.Transfer, than: Assembly.Transfer): boolean =>
+    const isNewer = (transfer: TransferAssembly.Transfer, than: TransferAssembly.Transfer): boolean =>
       transfer.epoch > than.epoch ||
       (transfer.epoch === than.epoch && !Stamp.isNewer(than.target, transfer.target));
     return {
--- a/test/backup.test.ts
+++ b/test/backup.test.ts
@@ -9,9 +9,9 @@
 import type { Term } from '../src/epoch/term.js';
 import { Epoch } from '../src/kinds/epoch.js';
 import { Stamp } from '../src/kinds/stamp.js';
-import { Assembly } from '../src/replica/assembly.js';
 import { Backup } from '../src/replica/backup.js';
 import { Payload } from '../src/replica/payload.js';
+import { TransferAssembly } from '../src/replica/transfer-assembly.js';
 import { File } from '../src/store/file.js';
 import { State } from '../src/store/state.js';
 import { Store } from '../src/store/store.js';
@@ -76,7 +76,7 @@
   after(() => rmSync(folder, { recursive: true, force: true }));
 
   const offer = async ({ previous, target, bytes, digest }: Payload, under = epoch) =>
-    (await backup.locate({
+    (await backup.handleOffer({
       kind: 'offer',
       serial: 1,
       epoch: under,
@@ -87,14 +87,14 @@
     })) as Extract<Standing, { kind: 'position' }>;
   const piece = async ({ bytes: all, digest }: Payload, offset: number, under = epoch, check = '') => {
     const bytes = all.subarray(offset, offset + pieceLength);
-    return (await backup.receive({
+    return (await backup.handlePiece({
       kind: 'piece',
       serial: 1,
       epoch: under,
       digest,
       offset,
       bytes,
-      check: check || Assembly.digestOf(bytes),
+      check: check || TransferAssembly.digestOf(bytes),
     })) as Extract<Standing, { kind: 'position' }>;
   };
   const sendAll = async (payload: Payload, until = payload.bytes.length) => {
@@ -107,7 +107,7 @@
     return last;
   };
   const append = async (revision: number, under = epoch) =>
-    (await backup.take({
+    (await backup.handleAppend({
       kind: 'append',
       serial: 1,
       epoch: under,
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -103,7 +103,7 @@
     if (request.kind === 'prepare') return vote(await register.prepare(request.ballot, request.isForming));
     if (request.kind === 'accept')
       return vote(await register.accept(request.ballot, request.term, request.isChosen));
-    if (request.kind === 'append') return backup.take({ ...request, serial: 0 });
+    if (request.kind === 'append') return backup.handleAppend({ ...request, serial: 0 });
     return vote(true);
   };
   return { register, proposer, self, core, isRetired: () => isRetired, answer };
--- a/test/membership-leave.test.ts
+++ b/test/membership-leave.test.ts
@@ -58,7 +58,7 @@
   it('tells of a newcomer that is not in touch yet, for the next primary to wait for', async () => {
     const { membership } = primaryOfThree();
     await membership.join(coreOf('d'));
-    assert.equal(membership.newcomer()?.disk, 'd');
+    assert.equal(membership.joiningCore()?.disk, 'd');
     const { membership: next, inTouch, disks } = primaryOfThree();
     assert.match(await next.leave(coreOf('c'), coreOf('d')), /not in touch yet/);
     inTouch.add('d');
--- a/test/model-follows.test.ts
+++ b/test/model-follows.test.ts
@@ -136,12 +136,12 @@
         const isNewer = Stamp.isNewer(machine.held.stamp, next.stamp);
         const text = `run ${run}, offer ${count}`;
         const offer = { epoch, previous: null, target: next.stamp, length: 0, digest: '' };
-        const located = await backup.locate({ kind: 'offer', serial: count, ...offer });
+        const located = await backup.handleOffer({ kind: 'offer', serial: count, ...offer });
         assert.equal(located.kind === 'position' && located.isTaken, after.isHeld, text);
         const whole = { kind: 'whole', stamp: next.stamp, state: stateOf(next) } as const;
         const record = Store.encode(whole);
         const append = { epoch, previous: next.stamp, record, whole: true };
-        const reply = await backup.take({ kind: 'append', serial: count, ...append });
+        const reply = await backup.handleAppend({ kind: 'append', serial: count, ...append });
         assert.equal(reply.kind === 'appended' && reply.isTaken, after.isHeld && !isNewer, text);
         machine = after.machine;
         if (after.isHeld && !isNewer) taken += 1;
--- a/test/replication.test.ts
+++ b/test/replication.test.ts
@@ -11,7 +11,7 @@
 import type { Followers } from '../src/replica/followers.js';
 import { InSyncSet } from '../src/replica/in-sync-set.js';
 import { Leadership } from '../src/replica/leadership.js';
-import type { MemberCalls } from '../src/replica/member-calls.js';
+import type { MemberClient } from '../src/replica/member-client.js';
 import { Replication } from '../src/replica/replication.js';
 import { TransferSource } from '../src/replica/transfer-source.js';
 import { State } from '../src/store/state.js';
@@ -73,16 +73,16 @@
 });
 
 describe('a follower', () => {
-  const followerOf = (answers: Partial<MemberCalls>, presumed = Stamp.of(1, 1)) => {
+  const followerOf = (answers: Partial<MemberClient>, presumed = Stamp.of(1, 1)) => {
     const leadership = Leadership.of('a', termOf(1, ['a', 'b']), Ballot.none);
     const log = ChangeLog.from(Stamp.none);
     for (let revision = 1; revision <= 9; revision += 1) log.add(changeTo(revision));
-    const calls = { protocol: () => Protocol.transfers, ...answers } as MemberCalls;
+    const calls = { protocol: () => Protocol.transfers, ...answers } as MemberClient;
     const source = TransferSource.of(log);
     const follower = Follower.of({ core: () => cores[1]!, leadership, calls, source, presumed });
     return { leadership, follower };
   };
-  const appended = (isTaken: boolean, revision: number, floor = 1): MemberCalls.Appended => ({
+  const appended = (isTaken: boolean, revision: number, floor = 1): MemberClient.Appended => ({
     kind: 'appended',
     serial: 1,
     isTaken,
@@ -92,9 +92,9 @@
   });
 
   it('tells the epoch that a confirmation was asked for under, not the one in force when it came', async () => {
-    let answer: (reply: MemberCalls.Appended) => void = () => {};
+    let answer: (reply: MemberClient.Appended) => void = () => {};
     const append = () =>
-      new Promise<MemberCalls.Appended>((resolve) => {
+      new Promise<MemberClient.Appended>((resolve) => {
         answer = resolve;
       });
     const { leadership, follower } = followerOf({ append });
@@ -118,7 +118,7 @@
   it('goes by what the member tells, where its disk came back behind what it was taken to hold', async () => {
     let held = 2;
     const appends: number[] = [];
-    const position = (): MemberCalls.Position => ({
+    const position = (): MemberClient.Position => ({
       kind: 'position',
       serial: 1,
       isTaken: true,
