--- a/src/replica/acknowledgement.ts
+++ b/src/replica/acknowledgement.ts
@@ -1,5 +1,8 @@
-// The acknowledged state and the only ways to another one: a change that all in sync have synced, or what an
-// earlier change has left on the own disk unconfirmed. Run in the primary's queue, one at a time.
+/**
+ * The primary's acknowledged state. It advances in two ways only: by a new change that all in-sync replicas have
+ * synced, or by replicating a state that an earlier change left on the primary's own disk without an acknowledgement.
+ * Both run in the primary's queue, one at a time.
+ */
 import { Failure } from '../kinds/failure.js';
 import { Timer } from '../kinds/timer.js';
 import { State } from '../store/state.js';
@@ -9,34 +12,37 @@
 import type { LeadershipTransfer } from './leadership-transfer.js';
 import type { Replication } from './replication.js';
 
-/** The primary's acknowledged state. */
+/** Access to the acknowledged state and the operations that advance it. */
 export type Acknowledgement = {
   readonly state: () => State;
-  /** Syncs a change here and at all in sync, then acknowledges it; throws `unconfirmed` once deposed. */
+  /** Syncs a change locally and at all in-sync backups, then acknowledges it; throws `unconfirmed` once deposed. */
   readonly write: (change: State.Change) => Promise<void>;
-  /** Acknowledges what the own disk holds beyond the acknowledged state. */
-  readonly resolve: () => Promise<void>;
+  /** Replicates and acknowledges what the local store holds beyond the acknowledged state. */
+  readonly acknowledgePending: () => Promise<void>;
 };
 
-const diskWithin = 1000;
+const localWriteTimeoutMs = 1000;
 
-const bounded = <T>(work: Promise<T>, span: number, what: string): Promise<T> =>
+const withTimeout = <T>(work: Promise<T>, timeoutMs: number, operation: string): Promise<T> =>
   new Promise((resolve, reject) => {
-    const timer = Timer.after(span, () => reject(Failure.of('store', `${what} took too long`)));
+    const timer = Timer.after(timeoutMs, () => reject(Failure.of('store', `${operation} timed out`)));
     work.then(resolve, reject).finally(() => timer.stop());
   });
 
+/** Creates the acknowledged state of a primary. */
 export const Acknowledgement = {
-  of(needs: {
+  /** Starts with the local store's current state as the acknowledged one. */
+  of(options: {
     readonly leadership: Leadership;
     readonly store: Store;
     readonly log: ChangeLog;
     readonly replication: Replication;
-    readonly handOver: LeadershipTransfer;
-    /** Told each state as it is acknowledged. */
+    /** Called when the local disk fails or stalls. */
+    readonly stepDown: LeadershipTransfer;
+    /** Called with each state when it is acknowledged. */
     readonly publish: (state: State) => void;
   }): Acknowledgement {
-    const { leadership, store, log, replication, handOver, publish } = needs;
+    const { leadership, store, log, replication, stepDown, publish } = options;
     let acknowledged = store.state();
     const acknowledge = (state: State) => {
       leadership.mustLead();
@@ -48,12 +54,16 @@
       async write(change) {
         const before = store.state();
         const next = State.apply(before, change);
-        const local = bounded(store.take(change, before.stamp), diskWithin, 'own disk').catch(handOver);
+        const local = withTimeout(
+          store.take(change, before.stamp),
+          localWriteTimeoutMs,
+          'local disk write',
+        ).catch(stepDown);
         log.add(change);
         await Promise.all([local, replication.replicate(next)]);
         acknowledge(store.state());
       },
-      async resolve() {
+      async acknowledgePending() {
         const state = store.state();
         if (state === acknowledged) return;
         await replication.replicate(state);
--- a/src/replica/backup.ts
+++ b/src/replica/backup.ts
@@ -1,7 +1,9 @@
-// The backup's side of replication: take what the primary sends, in order and synced, and refuse all that comes
-// from below the epoch promised. The epoch is looked at again after the sync, so that nothing is confirmed to a
-// primary that lost its place meanwhile. A whole state older than the one held was held up on its way: it is
-// refused, for the primary may count on what came after it. Only synced states are told as held.
+/**
+ * The backup side of replication: writes what the primary sends, in order and synced, and rejects everything from below
+ * the promised epoch. The epoch is checked again after the sync, so that nothing is confirmed to a primary that was
+ * superseded in the meantime. A full state older than the one held was delayed in transit and is rejected, because the
+ * primary may rely on what came after it. Only synced states are reported as held.
+ */
 import type { Register } from '../epoch/register.js';
 import { Epoch } from '../kinds/epoch.js';
 import { Failure } from '../kinds/failure.js';
@@ -14,84 +16,90 @@
 import { TransferAssembly } from './transfer-assembly.js';
 import type { TransferMeter } from './transfer-meter.js';
 
-/** Answers the primary's requests to a member. */
+/** Handles the primary's replication requests to a member. */
 export type Backup = {
-  /** Takes one change, or a whole state in one frame as primaries of earlier programs send it. */
+  /** Writes one change, or a full state in one frame, as primaries of earlier versions send it. */
   readonly handleAppend: (frame: Extract<Frame.Request, { kind: 'append' }>) => Promise<Frame.Reply>;
-  /** Tells which state is held and where the transfer offered goes on; refused only by the fence, and never late. */
+  /**
+   * Reports the state held and the offset at which the offered transfer resumes. Rejected only by epoch fencing, and
+   * answered at once, without waiting for a write in progress.
+   */
   readonly handleOffer: (frame: Extract<Frame.Request, { kind: 'offer' }>) => Promise<Frame.Reply>;
-  /** Takes one piece of a transfer, and with the last one the whole of it. */
+  /** Receives one piece of a transfer; with the last piece, writes the complete transfer. */
   readonly handlePiece: (frame: Extract<Frame.Request, { kind: 'piece' }>) => Promise<Frame.Reply>;
 };
 
+/** Types of the backup. */
 export declare namespace Backup {
-  type Needs = {
+  /** What a backup is built from. */
+  type Options = {
     readonly register: Register;
     readonly store: Store;
     readonly isLeading: () => boolean;
+    /** Counts the transfers received, if given. */
     readonly meter?: TransferMeter;
   };
 }
 
-/** Refuses requests of primaries that lost their place, and promises the epochs of the others. */
-const fenceOf = ({ register, isLeading }: Backup.Needs) => {
+/** Epoch fencing: rejects requests of superseded primaries and promises the epochs of all others. */
+const createFence = ({ register, isLeading }: Backup.Options) => {
   const isBelow = (epoch: Epoch) => epoch < register.floor();
-  const below = 'below the epoch promised';
+  const belowPromise = 'below the epoch promised';
   return {
-    /** Why a request under this epoch may not be taken; otherwise its epoch is promised. */
-    refuse(epoch: Epoch): string | undefined {
-      if (isBelow(epoch)) return below;
+    /** The reason to reject a request under this epoch; if there is none, the epoch is promised. */
+    reject(epoch: Epoch): string | undefined {
+      if (isBelow(epoch)) return belowPromise;
       if (register.isBlank()) return 'this core is blank';
       if (isLeading()) return 'this core leads';
       register.raise(epoch);
       return undefined;
     },
-    /** Why something synced meanwhile may not be confirmed any more. */
-    refuseAfter: (epoch: Epoch): string | undefined => (isBelow(epoch) ? below : undefined),
+    /** The reason why a write that has been synced may no longer be confirmed, if any. */
+    rejectAfterWrite: (epoch: Epoch): string | undefined => (isBelow(epoch) ? belowPromise : undefined),
   };
 };
 
-/** Writes to the store, one at a time, and whether one is under way. */
-const writerOf = (store: Store) => {
+/** Serializes writes to the store and tracks whether one is in progress. */
+const createWriter = (store: Store) => {
   const turns = Turns.of();
-  let writes = 0;
+  let activeWrites = 0;
   return {
-    isWriting: () => writes > 0,
-    inTurn: turns.take,
-    /** Resolves with the reason where the change could not be synced. */
+    isWriting: () => activeWrites > 0,
+    runExclusive: turns.take,
+    /** Resolves with the reason if the change could not be synced, else with undefined. */
     async write(change: State.Change, previous?: Stamp): Promise<string | undefined> {
-      writes += 1;
+      activeWrites += 1;
       try {
         await store.take(change, previous);
         return undefined;
       } catch (error) {
         return Failure.text(error);
       } finally {
-        writes -= 1;
+        activeWrites -= 1;
       }
     },
   };
 };
 
-/** Puts transfers together and takes each in one durable write. */
-const receiverOf = (
-  { store, meter }: Backup.Needs,
-  fence: ReturnType<typeof fenceOf>,
-  writer: ReturnType<typeof writerOf>,
+/** Assembles transfers and applies each in one durable write. */
+const createReceiver = (
+  { store, meter }: Backup.Options,
+  fence: ReturnType<typeof createFence>,
+  writer: ReturnType<typeof createWriter>,
 ) => {
   const assembly = TransferAssembly.of();
-  const take = (finished: TransferAssembly.Finished, epoch: Epoch): Promise<string | undefined> =>
-    writer.inTurn(async () => {
-      const { previous, target } = finished.transfer;
+  const apply = (completed: TransferAssembly.Completed, epoch: Epoch): Promise<string | undefined> =>
+    writer.runExclusive(async () => {
+      const { previous, target } = completed.transfer;
       const held = store.state();
-      const refusal = fence.refuse(epoch);
-      if (refusal) return refusal;
+      const rejection = fence.reject(epoch);
+      if (rejection) return rejection;
       if (!Stamp.isNewer(target, held.stamp)) return 'a newer state is held';
       if (previous && !Stamp.isSame(previous, held.stamp)) return 'another state is held';
-      const state = Payload.apply(held, finished);
-      const why = await writer.write({ kind: 'whole', stamp: state.stamp, state }, held.stamp);
-      if (!why) meter?.taken(previous ? 'tail' : 'snapshot');
-      return why ?? fence.refuseAfter(epoch);
+      const state = Payload.apply(held, completed);
+      const failure = await writer.write({ kind: 'whole', stamp: state.stamp, state }, held.stamp);
+      if (!failure) meter?.recordApplied(previous ? 'tail' : 'snapshot');
+      return failure ?? fence.rejectAfterWrite(epoch);
     });
   return {
     offset: assembly.offset,
@@ -100,14 +108,14 @@
       return assembly.begin(transfer) ? undefined : 'a newer transfer is under way';
     },
     async receive(piece: Extract<Frame.Request, { kind: 'piece' }>): Promise<string | undefined> {
-      const before = assembly.offset(piece.digest);
+      const previousOffset = assembly.offset(piece.digest);
       assembly.add(piece);
-      meter?.received(Math.max(0, assembly.offset(piece.digest) - before));
-      const finished = assembly.finished();
-      if (finished?.transfer.digest !== piece.digest) return undefined;
-      assembly.end(piece.digest);
+      meter?.recordReceived(Math.max(0, assembly.offset(piece.digest) - previousOffset));
+      const completed = assembly.completed();
+      if (completed?.transfer.digest !== piece.digest) return undefined;
+      assembly.discard(piece.digest);
       try {
-        return await take(finished, Epoch.of(piece.epoch));
+        return await apply(completed, Epoch.of(piece.epoch));
       } catch (error) {
         return Failure.text(error);
       }
@@ -115,52 +123,54 @@
   };
 };
 
+/** Creates the backup of a core. */
 export const Backup = {
-  of(needs: Backup.Needs): Backup {
-    const { register, store } = needs;
-    const fence = fenceOf(needs);
-    const writer = writerOf(store);
-    const receiver = receiverOf(needs, fence, writer);
-    const standing = (serial: number, why: string | undefined) => ({
+  /** A backup that writes to the given store and promises epochs in the given register. */
+  of(options: Backup.Options): Backup {
+    const { register, store } = options;
+    const fence = createFence(options);
+    const writer = createWriter(store);
+    const receiver = createReceiver(options, fence, writer);
+    const status = (serial: number, rejection: string | undefined) => ({
       serial,
-      isTaken: why === undefined,
+      isTaken: rejection === undefined,
       held: store.state().stamp,
       floor: register.floor(),
-      why: why ?? '',
+      why: rejection ?? '',
     });
     const append = async (frame: Extract<Frame.Request, { kind: 'append' }>): Promise<string | undefined> => {
       const epoch = Epoch.of(frame.epoch);
-      const refusal = fence.refuse(epoch);
-      if (refusal) return refusal;
+      const rejection = fence.reject(epoch);
+      if (rejection) return rejection;
       if (!frame.whole && !Stamp.isSame(frame.previous, store.state().stamp)) return 'another state is held';
       const change = Store.decode(frame.record);
       if (frame.whole && Stamp.isNewer(store.state().stamp, change.stamp)) return 'a newer state is held';
-      const why = await writer.write(change, frame.whole ? undefined : frame.previous);
-      return why ?? fence.refuseAfter(epoch);
+      const failure = await writer.write(change, frame.whole ? undefined : frame.previous);
+      return failure ?? fence.rejectAfterWrite(epoch);
     };
-    const position = (serial: number, digest: string, why: string | undefined) => ({
+    const position = (serial: number, digest: string, rejection: string | undefined) => ({
       kind: 'position' as const,
-      ...standing(serial, why),
+      ...status(serial, rejection),
       offset: receiver.offset(digest),
       isWriting: writer.isWriting(),
     });
     return {
       handleAppend: (frame) =>
-        writer.inTurn(async () => {
-          const why = await append(frame);
-          return { kind: 'appended', ...standing(frame.serial, why) };
+        writer.runExclusive(async () => {
+          const rejection = await append(frame);
+          return { kind: 'appended', ...status(frame.serial, rejection) };
         }),
       async handleOffer(frame) {
-        const refusal = fence.refuse(Epoch.of(frame.epoch));
-        const mayBegin = refusal === undefined && frame.length > 0 && !writer.isWriting();
-        const unwanted = mayBegin ? receiver.offer(frame) : undefined;
-        const reply = position(frame.serial, frame.digest, refusal);
-        return unwanted === undefined ? reply : { ...reply, why: unwanted };
+        const rejection = fence.reject(Epoch.of(frame.epoch));
+        const mayStart = rejection === undefined && frame.length > 0 && !writer.isWriting();
+        const offerRejection = mayStart ? receiver.offer(frame) : undefined;
+        const reply = position(frame.serial, frame.digest, rejection);
+        return offerRejection === undefined ? reply : { ...reply, why: offerRejection };
       },
       async handlePiece(frame) {
-        const refusal = fence.refuse(Epoch.of(frame.epoch));
-        const why = refusal ?? (await receiver.receive(frame));
-        return position(frame.serial, frame.digest, why);
+        const rejection = fence.reject(Epoch.of(frame.epoch));
+        const outcome = rejection ?? (await receiver.receive(frame));
+        return position(frame.serial, frame.digest, outcome);
       },
     };
   },
--- a/src/replica/catch-up.ts
+++ b/src/replica/catch-up.ts
@@ -1,6 +1,8 @@
-// Keeps every member near the acknowledged state, also those that are not in sync, beside the commits and holding
-// none of them up: a member that returns is brought to the newest state, and one that is recruited in place of a
-// lost backup lacks little. Only acknowledged states go out from here.
+/**
+ * Background catch-up: keeps every member close to the acknowledged state, including those not in sync, without
+ * blocking commits. A returning member is brought to the newest state, and a member recruited in place of a lost
+ * backup has little left to copy. Only acknowledged states are sent.
+ */
 import { Failure } from '../kinds/failure.js';
 import { Moment } from '../kinds/moment.js';
 import { Timer } from '../kinds/timer.js';
@@ -9,57 +11,59 @@
 import type { Followers } from './followers.js';
 import type { Leadership } from './leadership.js';
 
-/** Runs until the leadership ends. */
+/** Background catch-up of the members; runs until the leadership ends. */
 export type CatchUp = {
-  /** How many members of the term have not confirmed the acknowledged state yet. */
-  readonly behind: () => number;
+  /** The number of members of the term that have not confirmed the acknowledged state yet. */
+  readonly laggingMembers: () => number;
 };
 
-const lookEvery = 150;
-const tryAgainAfter = 500;
+const checkIntervalMs = 150;
+const retryDelayMs = 500;
 
+/** Starts the background catch-up of a primary. */
 export const CatchUp = {
-  begin(needs: {
+  /** Starts checking the members; stops by itself once the leadership is deposed. */
+  start(options: {
     readonly leadership: Leadership;
     readonly followers: Followers;
-    /** The acknowledged state; undefined while none is. */
+    /** The acknowledged state; undefined while there is none. */
     readonly acknowledged: () => State | undefined;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   }): CatchUp {
-    const { leadership, followers } = needs;
-    const underWay = new Set<string>();
+    const { leadership, followers } = options;
+    const inProgress = new Set<string>();
     const failures = new Map<string, { readonly at: Moment; readonly why: string }>();
     const others = () => leadership.term().cores.filter(({ disk }) => disk !== leadership.disk);
-    const mayTry = (core: Frame.Core, state: State) =>
+    const needsCatchUp = (core: Frame.Core, state: State) =>
       followers.downFor(core) === 0 &&
-      !underWay.has(core.disk) &&
-      Moment.since(failures.get(core.disk)?.at ?? Moment.past) > tryAgainAfter &&
-      followers.knowsTransfers(core) &&
+      !inProgress.has(core.disk) &&
+      Moment.since(failures.get(core.disk)?.at ?? Moment.past) > retryDelayMs &&
+      followers.supportsTransfers(core) &&
       !followers.hasConfirmed(core, state.stamp);
-    const bring = async (core: Frame.Core, state: State) => {
-      underWay.add(core.disk);
+    const catchUp = async (core: Frame.Core, state: State) => {
+      inProgress.add(core.disk);
       try {
-        await followers.bring(core, state);
+        await followers.replicate(core, state);
         failures.delete(core.disk);
       } catch (error) {
         const why = Failure.text(error);
         if (failures.get(core.disk)?.why !== why && leadership.isLeading())
-          needs.note('member does not catch up', { node: core.node, why });
+          options.note('member catch-up failed', { node: core.node, why });
         failures.set(core.disk, { at: Moment.now(), why });
       } finally {
-        underWay.delete(core.disk);
+        inProgress.delete(core.disk);
       }
     };
-    const look = () => {
-      const state = needs.acknowledged();
+    const checkMembers = () => {
+      const state = options.acknowledged();
       if (!state) return;
-      for (const core of others()) if (mayTry(core, state)) void bring(core, state);
+      for (const core of others()) if (needsCatchUp(core, state)) void catchUp(core, state);
     };
-    const looks = Timer.every(lookEvery, look);
-    void leadership.deposed.then(looks.stop);
+    const timer = Timer.every(checkIntervalMs, checkMembers);
+    void leadership.deposed.then(timer.stop);
     return {
-      behind() {
-        const state = needs.acknowledged();
+      laggingMembers() {
+        const state = options.acknowledged();
         return state ? others().filter((core) => !followers.hasConfirmed(core, state.stamp)).length : 0;
       },
     };
--- a/src/replica/change-log.ts
+++ b/src/replica/change-log.ts
@@ -1,44 +1,48 @@
-// The newest changes that the primary took into its own store, as records in their order: what a member that is
-// a little behind is sent instead of a whole state. It is bounded; a member further behind gets a snapshot.
+/**
+ * An in-memory log of the newest changes that the primary wrote to its own store, as encoded records in order. A
+ * member that lags a little is sent these instead of a full state. The log is bounded; a member further behind gets a
+ * snapshot.
+ */
 import { Stamp } from '../kinds/stamp.js';
 import type { State } from '../store/state.js';
 import { Store } from '../store/store.js';
 
-/** An unbroken chain of changes. */
+/** A contiguous sequence of changes. */
 export type ChangeLog = {
-  /** Adds the change that follows the newest one. */
+  /** Appends the change that follows the newest one. */
   readonly add: (change: State.Change) => void;
-  /** The records that lead from one state to another; undefined where the chain does not hold both. */
+  /** The records that lead from one state to another; undefined if the log does not cover that range. */
   readonly between: (from: Stamp, to: Stamp) => readonly Uint8Array[] | undefined;
 };
 
 type Entry = { readonly before: Stamp; readonly after: Stamp; readonly record: Uint8Array };
 
-/** Bytes of records kept, about what a snapshot of a large configuration takes. */
-const longest = 4 * 1024 * 1024;
-const mostChanges = 4096;
+/** About the size of a snapshot of a large configuration. */
+const maxLogBytes = 4 * 1024 * 1024;
+const maxLogChanges = 4096;
 
+/** Creates change logs. */
 export const ChangeLog = {
-  /** A chain that begins at the state with the given stamp. */
+  /** An empty log that starts after the state with the given stamp. */
   from(first: Stamp): ChangeLog {
     const entries: Entry[] = [];
     let newest = first;
-    let length = 0;
-    const isWithin = () => entries.length <= mostChanges && length <= longest;
+    let byteLength = 0;
+    const isWithinLimits = () => entries.length <= maxLogChanges && byteLength <= maxLogBytes;
     return {
       add(change) {
         const record = Store.encode(change);
         entries.push({ before: newest, after: change.stamp, record });
         newest = change.stamp;
-        length += record.length;
-        while (entries.length > 1 && !isWithin()) length -= entries.shift()!.record.length;
+        byteLength += record.length;
+        while (entries.length > 1 && !isWithinLimits()) byteLength -= entries.shift()!.record.length;
       },
       between(from, to) {
         if (Stamp.isSame(from, to)) return [];
-        const begin = entries.findIndex(({ before }) => Stamp.isSame(before, from));
+        const start = entries.findIndex(({ before }) => Stamp.isSame(before, from));
         const end = entries.findIndex(({ after }) => Stamp.isSame(after, to));
-        if (begin < 0 || end < begin) return undefined;
-        return entries.slice(begin, end + 1).map(({ record }) => record);
+        if (start < 0 || end < start) return undefined;
+        return entries.slice(start, end + 1).map(({ record }) => record);
       },
     };
   },
--- a/src/replica/confirmation.ts
+++ b/src/replica/confirmation.ts
@@ -1,5 +1,7 @@
-// A primary's contact with a majority of the cores: asked for steadily, and before every answer. The age of the
-// last confirmation counts from the moment at which it was asked for.
+/**
+ * Confirms that a majority of the cores still accepts the primary's term: periodically, and before every answer. The
+ * age of a confirmation counts from the time at which it was requested.
+ */
 import type { Proposer } from '../epoch/proposer.js';
 import { Moment } from '../kinds/moment.js';
 import { Timer } from '../kinds/timer.js';
@@ -7,25 +9,26 @@
 
 /** Confirmation of the term by a majority. */
 export type Confirmation = {
-  /** Whether a majority confirms the term now. */
+  /** Asks the cores whether a majority confirms the term now. */
   readonly confirm: () => Promise<boolean>;
-  /** When the newest confirmation was asked for. */
+  /** When the newest successful confirmation was requested. */
   readonly confirmedAt: () => Moment;
 };
 
-const confirmEvery = 200;
+const confirmIntervalMs = 200;
 
+/** Starts the confirmation of a primary's term. */
 export const Confirmation = {
-  /** Asks every 200 ms until the leadership ends. */
-  begin(leadership: Leadership, proposer: Proposer): Confirmation {
+  /** Requests a confirmation at once and then every 200 ms until the leadership ends. */
+  start(leadership: Leadership, proposer: Proposer): Confirmation {
     let confirmedAt = Moment.past;
     const confirm = async (): Promise<boolean> => {
-      const asked = Moment.now();
+      const requestedAt = Moment.now();
       const isConfirmed = await proposer.confirm(leadership.term());
-      if (isConfirmed && leadership.isLeading() && asked > confirmedAt) confirmedAt = asked;
+      if (isConfirmed && leadership.isLeading() && requestedAt > confirmedAt) confirmedAt = requestedAt;
       return isConfirmed;
     };
-    const heartbeat = Timer.every(confirmEvery, () => void confirm());
+    const heartbeat = Timer.every(confirmIntervalMs, () => void confirm());
     void confirm();
     void leadership.deposed.then(heartbeat.stop);
     return { confirm, confirmedAt: () => confirmedAt };
--- a/src/replica/follower.ts
+++ b/src/replica/follower.ts
@@ -1,7 +1,9 @@
-// The primary's view of one other member, and the one task that brings it to the newest state wanted: a change in
-// one frame where it stands just before it, else a transfer in pieces, one under way at a time. Each exchange has a
-// short bound of its own and is judged by the progress it told; a transfer goes on where it stopped, also over
-// a new link. A confirmation counts under the epoch that it was asked for under.
+/**
+ * The primary's view of one other member, and the single task that brings it to the newest requested state: one
+ * change in one frame if the member is exactly one change behind, else a transfer in pieces, one piece at a time.
+ * Each exchange has its own short timeout and is judged by the progress that the member reports. A transfer resumes
+ * where it stopped, also over a new link. A confirmation counts under the epoch of its request.
+ */
 import { Epoch } from '../kinds/epoch.js';
 import { Failure } from '../kinds/failure.js';
 import { Moment } from '../kinds/moment.js';
@@ -15,31 +17,34 @@
 import type { Payload } from './payload.js';
 import type { TransferSource } from './transfer-source.js';
 
-/** One member as the primary replicates to it. */
+/** Replication to one member. */
 export type Follower = {
   /**
-   * Brings the member to the state. Resolves, once it has confirmed after this call that it has synced it, with the
-   * epoch of that confirmation; rejects where an exchange brought no progress (call again to go on).
+   * Brings the member to the state. Resolves with the epoch of the confirmation once the member has confirmed, after
+   * this call, that it has synced the state. Rejects if an exchange made no progress; call again to continue.
    */
-  readonly bring: (state: State) => Promise<Epoch>;
+  readonly replicate: (state: State) => Promise<Epoch>;
   /** The newest state that the member has confirmed under this epoch. */
   readonly confirmed: (epoch: Epoch) => Stamp | undefined;
-  /** What the member held when it last told, and the transfer under way. */
+  /** The state that the member last reported, and the transfer in progress. */
   readonly progress: () => Follower.Progress;
 };
 
+/** Types of the follower. */
 export declare namespace Follower {
+  /** How far a member has followed. */
   type Progress = {
     readonly held: Stamp | undefined;
     readonly transfer: { readonly sent: number; readonly length: number } | undefined;
   };
-  type Needs = {
+  /** What a follower is built from. */
+  type Options = {
     readonly core: () => Frame.Core;
     readonly leadership: Leadership;
-    readonly calls: MemberClient;
+    readonly client: MemberClient;
     readonly source: TransferSource;
-    /** The state that the member is taken to hold until it tells. */
-    readonly presumed: Stamp | undefined;
+    /** The state that the member is assumed to hold until it reports one. */
+    readonly assumedStamp: Stamp | undefined;
   };
 }
 
@@ -48,38 +53,41 @@
   readonly resolve: (epoch: Epoch) => void;
   readonly reject: (cause: unknown) => void;
 };
-type Standing = Pick<Extract<Frame.Reply, { kind: 'appended' }>, 'isTaken' | 'held' | 'floor' | 'why'>;
+type ReplyStatus = Pick<Extract<Frame.Reply, { kind: 'appended' }>, 'isTaken' | 'held' | 'floor' | 'why'>;
 
-const lookAgainAfter = 100;
-const hungAfter = 10_000;
+const writePollIntervalMs = 100;
+/** How long a member may keep reporting a write in progress before its disk counts as hung. */
+const diskHungAfterMs = 10_000;
 
-/** What is known of the member's copy, with one function for each way in which that changes. */
-const knowledgeOf = ({ core, leadership, presumed }: Follower.Needs) => {
-  let held = presumed;
-  let lastTold = presumed;
+/** What the primary knows of the member's copy, and the operations that change it. */
+const createMemberView = ({ core, leadership, assumedStamp }: Follower.Options) => {
+  let held = assumedStamp;
+  let lastReported = assumedStamp;
   let confirmed: { readonly stamp: Stamp; readonly epoch: Epoch } | undefined;
   const waiters = new Set<Waiter>();
   return {
     held: () => held,
-    lastTold: () => lastTold,
+    lastReported: () => lastReported,
     confirmed: () => confirmed,
-    isWaitedFor: () => waiters.size > 0,
-    wait: (stamp: Stamp): Promise<Epoch> =>
+    hasWaiters: () => waiters.size > 0,
+    waitFor: (stamp: Stamp): Promise<Epoch> =>
       new Promise((resolve, reject) => void waiters.add({ stamp, resolve, reject })),
-    /** What it holds is not known any more: an exchange ended without an answer. */
-    forget() {
+    /** The member's state is unknown from now on, because an exchange ended without an answer. */
+    invalidate() {
       held = undefined;
     },
-    fail(cause: unknown) {
+    rejectAll(cause: unknown) {
       for (const { reject } of waiters) reject(cause);
       waiters.clear();
     },
-    /** Learns from a reply to a request under `epoch`; throws where that epoch is below the member's promise. */
-    learn(reply: Standing, epoch: Epoch) {
+    /**
+     * Applies a reply to a request under `epoch`; throws if that epoch is below the one that the member has promised.
+     */
+    applyReply(reply: ReplyStatus, epoch: Epoch) {
       leadership.recordPromise(Epoch.of(reply.floor));
-      if (reply.floor > epoch) throw Failure.of('stale', `${core().node} did not take it: ${reply.why}`);
+      if (reply.floor > epoch) throw Failure.of('stale', `${core().node} rejected the state: ${reply.why}`);
       held = reply.held;
-      lastTold = reply.held;
+      lastReported = reply.held;
       if (!reply.isTaken) return;
       confirmed = { stamp: reply.held, epoch };
       for (const waiter of [...waiters])
@@ -91,118 +99,125 @@
   };
 };
 
-/** Whether a payload still leads a member on that holds this state. */
-const isUseful = (payload: Payload | undefined, held: Stamp): boolean =>
+/** Whether a payload can still be applied by a member that holds this state. */
+const isApplicable = (payload: Payload | undefined, held: Stamp): boolean =>
   payload !== undefined &&
   (payload.previous ? Stamp.isSame(payload.previous, held) : Stamp.isNewer(payload.target, held));
 
-/** The next exchange with the member, chosen by what is known of its copy. */
-const stepsOf = ({ core, leadership, calls, source }: Follower.Needs, known: Knowledge) => {
+/** Runs the next exchange with the member, chosen by what is known of its copy. */
+const createExchanges = ({ core, leadership, client, source }: Follower.Options, member: MemberView) => {
   let payload: Payload | undefined;
   let offset = 0;
   let writingSince: Moment | undefined;
   const epoch = () => leadership.term().epoch;
-  const refuse = (why: string): never => {
+  const abort = (why: string): never => {
     payload = undefined;
-    throw Failure.of('stale', `${core().node} did not take it: ${why}`);
+    throw Failure.of('stale', `${core().node} rejected the state: ${why}`);
   };
-  /** Learns from the answer to a write; one that was refused for no reason that is told by what is held ends the task. */
-  const learnWrite = (reply: Standing, under: Epoch, before: Stamp) => {
-    known.learn(reply, under);
-    if (!reply.isTaken && Stamp.isSame(reply.held, before)) refuse(reply.why);
+  /** Applies the reply to a write. A rejection ends the task unless the state held changed, which explains it. */
+  const applyWriteReply = (reply: ReplyStatus, requestEpoch: Epoch, before: Stamp) => {
+    member.applyReply(reply, requestEpoch);
+    if (!reply.isTaken && Stamp.isSame(reply.held, before)) abort(reply.why);
   };
-  const locate = async (target: State) => {
-    const under = epoch();
-    const reply = await calls.offer(under, payload);
+  const offer = async (target: State) => {
+    const requestEpoch = epoch();
+    const reply = await client.offer(requestEpoch, payload);
     if (!reply.isTaken) {
-      known.learn(reply, under);
-      refuse(reply.why);
+      member.applyReply(reply, requestEpoch);
+      abort(reply.why);
     }
-    known.learn(reply, under);
+    member.applyReply(reply, requestEpoch);
     offset = reply.offset;
     if (!reply.isWriting || Stamp.isSame(reply.held, target.stamp)) {
       writingSince = undefined;
       return;
     }
     writingSince ??= Moment.now();
-    if (Moment.since(writingSince) > hungAfter) throw Failure.of('store', `the disk of ${core().node} hangs`);
-    known.forget();
-    await Timer.pause(lookAgainAfter);
+    if (Moment.since(writingSince) > diskHungAfterMs)
+      throw Failure.of('store', `the disk of ${core().node} does not complete its write`);
+    member.invalidate();
+    await Timer.pause(writePollIntervalMs);
   };
-  const sendPiece = async (held: Stamp, sending: Payload) => {
-    const under = epoch();
-    const reply = await calls.piece(under, sending, offset);
-    learnWrite(reply, under, held);
-    const isMoved = reply.offset > offset || reply.isWriting || !Stamp.isSame(reply.held, held);
-    if (!isMoved) refuse('a piece was not taken');
+  const sendPiece = async (held: Stamp, current: Payload) => {
+    const requestEpoch = epoch();
+    const reply = await client.piece(requestEpoch, current, offset);
+    applyWriteReply(reply, requestEpoch, held);
+    const hasProgressed = reply.offset > offset || reply.isWriting || !Stamp.isSame(reply.held, held);
+    if (!hasProgressed) abort('a piece was not accepted');
     offset = reply.offset;
   };
   const step = async (target: State) => {
-    const held = known.held();
-    if (held && !isUseful(payload, held)) payload = undefined;
-    if (!held || Stamp.isSame(held, target.stamp)) return locate(target);
+    const held = member.held();
+    if (held && !isApplicable(payload, held)) payload = undefined;
+    if (!held || Stamp.isSame(held, target.stamp)) return offer(target);
     if (payload) return sendPiece(held, payload);
     const next = source.next(held, target);
     if (next.kind === 'transfer') {
       payload = next.payload;
-      return locate(target);
+      return offer(target);
     }
-    const under = epoch();
-    learnWrite(await calls.append(under, next.previous, next.record, false), under, held);
+    const requestEpoch = epoch();
+    applyWriteReply(await client.append(requestEpoch, next.previous, next.record, false), requestEpoch, held);
   };
-  /** The same for a program that knows no transfers: a change where it fits, else the whole state in one frame. */
-  const stepAsBefore = async (target: State) => {
-    const held = known.held();
+  /**
+   * The same for a version without transfers: one change if the member is one behind, else the full state in one
+   * frame.
+   */
+  const stepWithoutTransfers = async (target: State) => {
+    const held = member.held();
     const next = held && !Stamp.isSame(held, target.stamp) ? source.next(held, target) : undefined;
-    const under = epoch();
+    const requestEpoch = epoch();
     if (next?.kind !== 'change') {
-      const reply = await calls.append(under, target.stamp, source.whole(target), true);
-      known.learn(reply, under);
-      if (!reply.isTaken) refuse(reply.why);
+      const reply = await client.append(requestEpoch, target.stamp, source.snapshotRecord(target), true);
+      member.applyReply(reply, requestEpoch);
+      if (!reply.isTaken) abort(reply.why);
       return;
     }
-    const reply = await calls.append(under, next.previous, next.record, false);
-    known.learn(reply, under);
-    if (!reply.isTaken) known.forget();
+    const reply = await client.append(requestEpoch, next.previous, next.record, false);
+    member.applyReply(reply, requestEpoch);
+    if (!reply.isTaken) member.invalidate();
   };
   return {
-    step: (target: State) => (calls.protocol() < Protocol.transfers ? stepAsBefore(target) : step(target)),
+    step: (target: State) =>
+      client.protocol() < Protocol.transfers ? stepWithoutTransfers(target) : step(target),
     transfer: () => payload && { sent: offset, length: payload.bytes.length },
   };
 };
 
-type Knowledge = ReturnType<typeof knowledgeOf>;
+type MemberView = ReturnType<typeof createMemberView>;
 
+/** Creates the replication to one member. */
 export const Follower = {
-  of(needs: Follower.Needs): Follower {
-    const { leadership } = needs;
-    const known = knowledgeOf(needs);
-    const steps = stepsOf(needs, known);
+  /** A follower that is idle until a state is requested. */
+  of(options: Follower.Options): Follower {
+    const { leadership } = options;
+    const member = createMemberView(options);
+    const exchanges = createExchanges(options, member);
     let target: State | undefined;
-    let isDriven = false;
-    const drive = async () => {
-      isDriven = true;
+    let isRunning = false;
+    const run = async () => {
+      isRunning = true;
       try {
-        while (known.isWaitedFor()) {
+        while (member.hasWaiters()) {
           leadership.mustLead();
-          await steps.step(target!);
+          await exchanges.step(target!);
         }
       } catch (cause) {
-        known.forget();
-        known.fail(cause);
+        member.invalidate();
+        member.rejectAll(cause);
       } finally {
-        isDriven = false;
+        isRunning = false;
       }
     };
     return {
-      bring(state) {
+      replicate(state) {
         if (!target || Stamp.isNewer(state.stamp, target.stamp)) target = state;
-        const confirmed = known.wait(state.stamp);
-        if (!isDriven) void drive();
+        const confirmed = member.waitFor(state.stamp);
+        if (!isRunning) void run();
         return confirmed;
       },
-      confirmed: (epoch) => (known.confirmed()?.epoch === epoch ? known.confirmed()?.stamp : undefined),
-      progress: () => ({ held: known.lastTold(), transfer: steps.transfer() }),
+      confirmed: (epoch) => (member.confirmed()?.epoch === epoch ? member.confirmed()?.stamp : undefined),
+      progress: () => ({ held: member.lastReported(), transfer: exchanges.transfer() }),
     };
   },
 };
--- a/src/replica/followers.ts
+++ b/src/replica/followers.ts
@@ -1,4 +1,4 @@
-// The other members as the primary replicates to them: one follower for each disk, made when it is first wanted.
+/** Replication to the other members: one follower for each disk, created on first use. */
 import type { Epoch } from '../kinds/epoch.js';
 import { Stamp } from '../kinds/stamp.js';
 import type { State } from '../store/state.js';
@@ -11,54 +11,57 @@
 import type { TransferMeter } from './transfer-meter.js';
 import type { TransferSource } from './transfer-source.js';
 
-/** Replication to members by their disks. */
+/** Replication to all other members, which are identified by their disks. */
 export type Followers = {
-  /** Brings a member to the state; see `Follower.bring`. */
-  readonly bring: (core: Frame.Core, state: State) => Promise<Epoch>;
-  /** Whether the member has confirmed the state, or a newer one, under the term now in force. */
+  /** Brings a member to the state; see `Follower.replicate`. */
+  readonly replicate: (core: Frame.Core, state: State) => Promise<Epoch>;
+  /** Whether the member has confirmed the state, or a newer one, under the current term. */
   readonly hasConfirmed: (core: Frame.Core, stamp: Stamp) => boolean;
-  /** Whether the member runs a program that knows transfers. */
-  readonly knowsTransfers: (core: Frame.Core) => boolean;
-  /** Milliseconds since the member's disk was last heard of: 0 while its link is up, infinite if never. */
+  /** Whether the member runs a version that supports transfers. */
+  readonly supportsTransfers: (core: Frame.Core) => boolean;
+  /** Milliseconds since the member's disk was last reachable: 0 while its link is up, infinite if it never was. */
   readonly downFor: (core: Frame.Core) => number;
+  /** How far the member has followed. */
   readonly progress: (core: Frame.Core) => Follower.Progress;
 };
 
-type Member = { core: Frame.Core; readonly follower: Follower; readonly calls: MemberClient };
+type Member = { core: Frame.Core; readonly follower: Follower; readonly client: MemberClient };
 
+/** Creates the replication to all other members. */
 export const Followers = {
-  of(needs: {
+  /** Followers of a new leadership, none of them created yet. */
+  of(options: {
     readonly leadership: Leadership;
     readonly courierTo: (core: Frame.Core) => Courier | undefined;
     readonly source: TransferSource;
-    /** The state held when the leadership began: the backups in sync are taken to hold it until they tell. */
-    readonly first: Stamp;
+    /** The state held when the leadership began; in-sync backups are assumed to hold it until they report one. */
+    readonly initialStamp: Stamp;
     readonly meter: TransferMeter | undefined;
   }): Followers {
-    const { leadership, courierTo, source, meter } = needs;
+    const { leadership, courierTo, source, meter } = options;
     const members = new Map<string, Member>();
     const memberOf = (core: Frame.Core): Member => {
       let member = members.get(core.disk);
       if (!member) {
         const current = () => members.get(core.disk)?.core ?? core;
-        const calls = MemberClient.of({ core: current, courierTo, meter });
-        const presumed = leadership.backups().includes(core.disk) ? needs.first : undefined;
-        const follower = Follower.of({ core: current, leadership, calls, source, presumed });
-        member = { core, calls, follower };
+        const client = MemberClient.of({ core: current, courierTo, meter });
+        const assumedStamp = leadership.backups().includes(core.disk) ? options.initialStamp : undefined;
+        const follower = Follower.of({ core: current, leadership, client, source, assumedStamp });
+        member = { core, client, follower };
         members.set(core.disk, member);
       }
       member.core = core;
       return member;
     };
     return {
-      bring: (core, state) => memberOf(core).follower.bring(state),
+      replicate: (core, state) => memberOf(core).follower.replicate(state),
       hasConfirmed(core, stamp) {
         const confirmed = memberOf(core).follower.confirmed(leadership.term().epoch);
         return confirmed !== undefined && !Stamp.isNewer(stamp, confirmed);
       },
-      knowsTransfers(core) {
+      supportsTransfers(core) {
         try {
-          return memberOf(core).calls.protocol() >= Protocol.transfers;
+          return memberOf(core).client.protocol() >= Protocol.transfers;
         } catch {
           return false;
         }
--- a/src/replica/leadership-transfer.ts
+++ b/src/replica/leadership-transfer.ts
@@ -1,5 +1,7 @@
-// A primary whose own disk fails or stalls hands its place over: its backups are asked to take it, and it is
-// deposed at once. One that is about to end asks one backup after the other, and leads on until one has taken over.
+/**
+ * Leadership transfer. A primary whose own disk fails or stalls asks its backups to take over and is deposed at once. A
+ * primary that is shutting down asks one backup after the other and keeps leading until one has taken over.
+ */
 import { Term } from '../epoch/term.js';
 import { Failure } from '../kinds/failure.js';
 import { Timer } from '../kinds/timer.js';
@@ -7,49 +9,51 @@
 import type { Frame } from '../wire/frame.js';
 import type { Leadership } from './leadership.js';
 
-/** Hands the place over because of a failure of the own disk; always throws `unconfirmed`. */
+/** Steps down because of a local disk failure; always throws `unconfirmed`. */
 export type LeadershipTransfer = (cause: unknown) => Promise<never>;
 
-const askWithin = 1200;
-/** How long a backup that agreed has for taking over, in milliseconds. */
-const takeOverWithin = 1000;
+const requestTimeoutMs = 1200;
+/** How long a backup that agreed to take over may need. */
+const takeOverTimeoutMs = 1000;
 
+/** Transfers the leadership to a backup. */
 export const LeadershipTransfer = {
-  /** Asks the backups in their order to take over; resolves with the reason where none did. */
-  async byRequest(needs: {
+  /** Asks the backups in order to take over; resolves with the reason if none did, else with an empty string. */
+  async request(options: {
     readonly leadership: Leadership;
     readonly courierTo: (core: Frame.Core) => Courier | undefined;
   }): Promise<string> {
-    const { leadership } = needs;
+    const { leadership } = options;
     const { epoch } = leadership.term();
     for (const disk of leadership.backups()) {
       const core = Term.core(leadership.term(), disk);
-      const courier = core && needs.courierTo(core);
+      const courier = core && options.courierTo(core);
       if (!core || !courier?.reaches(core) || courier.downFor() > 0) continue;
-      const reply = await courier.ask({ kind: 'yield', epoch }, askWithin).catch(() => undefined);
+      const reply = await courier.ask({ kind: 'yield', epoch }, requestTimeoutMs).catch(() => undefined);
       if (reply?.kind !== 'done' || !reply.isDone) continue;
-      await Promise.race([leadership.deposed, Timer.pause(takeOverWithin)]);
+      await Promise.race([leadership.deposed, Timer.pause(takeOverTimeoutMs)]);
       if (!leadership.isLeading()) return '';
     }
     return 'no backup took over';
   },
-  of(needs: {
+  /** The handler of a local disk failure, which asks all backups to take over. */
+  of(options: {
     readonly leadership: Leadership;
     readonly courierTo: (core: Frame.Core) => Courier | undefined;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   }): LeadershipTransfer {
-    const { leadership } = needs;
+    const { leadership } = options;
     return async (cause) => {
-      needs.note('own disk failure', { why: Failure.text(cause) });
+      options.note('local disk failure', { why: Failure.text(cause) });
       const { cores, epoch } = leadership.term();
       const backups = leadership.backups();
       for (const core of cores.filter(({ disk }) => backups.includes(disk)))
-        void needs
+        void options
           .courierTo(core)
-          ?.ask({ kind: 'yield', epoch }, askWithin)
+          ?.ask({ kind: 'yield', epoch }, requestTimeoutMs)
           .catch(() => undefined);
-      leadership.depose(`own disk: ${Failure.text(cause)}`);
-      throw Failure.of('unconfirmed', 'own disk failure', {}, cause);
+      leadership.depose(`local disk failure: ${Failure.text(cause)}`);
+      throw Failure.of('unconfirmed', 'local disk failure', {}, cause);
     };
   },
 };
--- a/src/replica/leadership.ts
+++ b/src/replica/leadership.ts
@@ -1,52 +1,57 @@
-// The record of one core's time as primary: the term it leads under and the ballot that chose it, whether the
-// outcome of its last change of the register is known, the highest epoch that a backup told of, and its end.
+/**
+ * The state of one core's leadership: its term and the ballot that chose it, whether the outcome of its last register
+ * change is known, the highest epoch that a backup reported as promised, and whether it has been deposed.
+ */
 import type { Ballot } from '../epoch/ballot.js';
 import type { Term } from '../epoch/term.js';
 import { Epoch } from '../kinds/epoch.js';
 import { Failure } from '../kinds/failure.js';
 import { Phase } from '../kinds/phase.js';
 
-/** What a primary knows of its own leadership, with one function for each way in which that may change. */
+/** What a primary knows of its own leadership, and the operations that change it. */
 export type Leadership = {
   /** The name of the primary's own disk. */
   readonly disk: string;
+  /** The term that this core leads under. */
   readonly term: () => Term;
   /** The ballot that chose the term. */
   readonly ballot: () => Ballot;
-  /** The disks in sync, without the primary's own. */
+  /** The in-sync disks other than the primary's own. */
   readonly backups: () => readonly string[];
+  /** Whether the leadership has not been deposed. */
   readonly isLeading: () => boolean;
   /** Throws `unconfirmed` once deposed. */
   readonly mustLead: () => void;
-  /** Whether the outcome of a change of the register is not known yet: nothing may be acknowledged. */
-  readonly isUnsure: () => boolean;
-  /** The highest epoch that a backup has promised to another core, or none. */
+  /** Whether the outcome of a register change is unknown; while it is, nothing may be acknowledged. */
+  readonly isOutcomeUnknown: () => boolean;
+  /** The highest epoch that a backup has promised to another core, or `Epoch.none`. */
   readonly promised: () => Epoch;
-  /** A change of the register begins: its outcome is unknown until `settle`. */
+  /** Marks the start of a register change; its outcome is unknown until `endChange`. */
   readonly beginChange: () => void;
-  /** The outcome of the last change of the register is known, or still is not. */
-  readonly settle: (isKnown: boolean) => void;
-  /** Goes on under a term that the register holds and that names this core as primary. */
+  /** Records whether the outcome of the last register change is known. */
+  readonly endChange: (isKnown: boolean) => void;
+  /** Continues under a term that the register holds and that names this core as primary. */
   readonly adopt: (term: Term, ballot: Ballot) => void;
-  /** A backup has promised this epoch to another core and takes nothing from below it. */
+  /** Records that a backup has promised this epoch to another core and rejects everything below it. */
   readonly recordPromise: (epoch: Epoch) => void;
-  /** Ends the leadership for good; only the first reason is told. */
+  /** Ends the leadership permanently; only the first reason is reported. */
   readonly depose: (why: string) => void;
   /** Resolves with the reason once deposed. */
   readonly deposed: Promise<string>;
 };
 
+/** Creates the state of a leadership. */
 export const Leadership = {
-  /** A leadership that begins under a term which the register has just chosen. */
+  /** A leadership that starts under a term which the register has just chosen. */
   of(disk: string, chosen: Term, chosenBy: Ballot): Leadership {
     const phase = Phase.of('leading', { leading: ['deposed'], deposed: [] });
     let term = chosen;
     let ballot = chosenBy;
-    let isUnsure = false;
+    let isOutcomeUnknown = false;
     let promised = Epoch.none;
-    let tellDeposed: (why: string) => void = () => {};
+    let resolveDeposed: (why: string) => void = () => {};
     const deposed = new Promise<string>((resolve) => {
-      tellDeposed = resolve;
+      resolveDeposed = resolve;
     });
     return {
       disk,
@@ -57,13 +62,13 @@
       mustLead() {
         if (!phase.is('leading')) throw Failure.of('unconfirmed', 'no longer primary');
       },
-      isUnsure: () => isUnsure,
+      isOutcomeUnknown: () => isOutcomeUnknown,
       promised: () => promised,
       beginChange() {
-        isUnsure = true;
+        isOutcomeUnknown = true;
       },
-      settle(isKnown) {
-        isUnsure = !isKnown;
+      endChange(isKnown) {
+        isOutcomeUnknown = !isKnown;
       },
       adopt(next, by) {
         term = next;
@@ -75,7 +80,7 @@
       depose(why) {
         if (phase.is('deposed')) return;
         phase.become('deposed');
-        tellDeposed(why);
+        resolveDeposed(why);
       },
       deposed,
     };
--- a/src/replica/maintenance.ts
+++ b/src/replica/maintenance.ts
@@ -1,5 +1,7 @@
-// The primary's care for its in-sync set between commits: a backup that is gone is replaced as soon as another
-// core can take its place, and a broken disk of its own ends the leadership.
+/**
+ * Maintenance of the in-sync set between commits: replaces a backup that is down as soon as another core can take its
+ * place, and steps down if the primary's own store is broken.
+ */
 import type { Turns } from '../kinds/turns.js';
 import type { Store } from '../store/store.js';
 import type { Frame } from '../wire/frame.js';
@@ -9,45 +11,48 @@
 import type { LeadershipTransfer } from './leadership-transfer.js';
 import type { Replication } from './replication.js';
 
-/** Work between commits, in the queue that commits run in. */
+/** Work between commits, run in the same queue as commits. */
 export type Maintenance = {
-  /** One look; the in-sync set is left alone while the leadership is not open yet. */
+  /** Runs one check; does not change the in-sync set until the leadership has acknowledged its first change. */
   readonly run: (turns: Turns, isOpen: boolean) => Promise<void>;
-  /** Tries once to bring the acknowledged state to enough others that the in-sync set is whole. */
+  /** Tries once to replicate the acknowledged state to enough other cores to fill the in-sync set. */
   readonly replaceBackups: () => Promise<void>;
 };
 
-const deadAfter = 500;
+/** How long a backup may be unreachable before it is replaced. */
+const deadAfterMs = 500;
 
+/** Creates the maintenance of a primary's in-sync set. */
 export const Maintenance = {
-  of(needs: {
+  /** The maintenance of one leadership. */
+  of(options: {
     readonly leadership: Leadership;
     readonly followers: Followers;
     readonly replication: Replication;
-    readonly handOver: LeadershipTransfer;
+    readonly stepDown: LeadershipTransfer;
     readonly store: Store;
-    readonly states: Acknowledgement;
+    readonly acknowledgement: Acknowledgement;
   }): Maintenance {
-    const { leadership, followers, replication, handOver, store, states } = needs;
+    const { leadership, followers, replication, stepDown, store, acknowledgement } = options;
     const others = () => leadership.term().cores.filter(({ disk }) => disk !== leadership.disk);
     const isBackup = (core: Frame.Core) => leadership.backups().includes(core.disk);
-    const isDead = (core: Frame.Core) => isBackup(core) && followers.downFor(core) > deadAfter;
-    const isUpSpare = (core: Frame.Core) => !isBackup(core) && followers.downFor(core) === 0;
-    const isLacking = () => !replication.isWhole() || others().some(isDead);
+    const isDead = (core: Frame.Core) => isBackup(core) && followers.downFor(core) > deadAfterMs;
+    const isAvailableSpare = (core: Frame.Core) => !isBackup(core) && followers.downFor(core) === 0;
+    const needsReplacement = () => !replication.isInSyncSetComplete() || others().some(isDead);
     return {
       async run(turns, isOpen) {
         if (!leadership.isLeading()) return;
         if (!store.isSound())
-          await turns.take(() => handOver(new Error('the store is broken'))).catch(() => {});
-        if (!isOpen || !isLacking() || !others().some(isUpSpare)) return;
+          await turns.take(() => stepDown(new Error('the store is broken'))).catch(() => {});
+        if (!isOpen || !needsReplacement() || !others().some(isAvailableSpare)) return;
         await turns.take(async () => {
-          await states.resolve();
-          if (isLacking()) await replication.tryOnce(states.state());
+          await acknowledgement.acknowledgePending();
+          if (needsReplacement()) await replication.tryReplicate(acknowledgement.state());
         });
       },
       async replaceBackups() {
-        await states.resolve();
-        await replication.tryOnce(states.state());
+        await acknowledgement.acknowledgePending();
+        await replication.tryReplicate(acknowledgement.state());
       },
     };
   },
--- a/src/replica/member-client.ts
+++ b/src/replica/member-client.ts
@@ -1,5 +1,7 @@
-// The primary's calls to one member over its courier. Each is bounded by what it carries: a fixed span and the
-// time that its bytes take over the slowest link that is borne.
+/**
+ * The primary's requests to one member over its courier. The timeout of each is a fixed time plus the time that its
+ * bytes take over the slowest supported link.
+ */
 import type { Epoch } from '../kinds/epoch.js';
 import { Failure } from '../kinds/failure.js';
 import { Stamp } from '../kinds/stamp.js';
@@ -10,50 +12,56 @@
 import { TransferAssembly } from './transfer-assembly.js';
 import type { TransferMeter } from './transfer-meter.js';
 
-/** Requests to one member; each rejects with `link` or `silence` where no answer came. */
+/** Requests to one member; each rejects with `link` or `silence` if no reply arrives. */
 export type MemberClient = {
+  /** Sends one record: the change after `previous`, or a full state. */
   readonly append: (
     epoch: Epoch,
     previous: Stamp,
     record: Uint8Array,
     whole: boolean,
   ) => Promise<MemberClient.Appended>;
-  /** Asks where the member stands, and offers it a payload where one is given. */
+  /** Asks for the member's position, and offers it the payload if one is given. */
   readonly offer: (epoch: Epoch, payload: Payload | undefined) => Promise<MemberClient.Position>;
-  /** Sends the piece of the payload that begins at the offset. */
+  /** Sends the piece of the payload that starts at the offset. */
   readonly piece: (epoch: Epoch, payload: Payload, offset: number) => Promise<MemberClient.Position>;
-  /** What the member knows of the frames; throws `link` before it has told. */
+  /** The protocol version of the member; throws `link` until the member has reported it. */
   readonly protocol: () => Protocol;
 };
 
+/** The replies to the requests. */
 export declare namespace MemberClient {
+  /** The reply to an append. */
   type Appended = Extract<Frame.Reply, { kind: 'appended' }>;
+  /** The reply to an offer or a piece. */
   type Position = Extract<Frame.Reply, { kind: 'position' }>;
 }
 
-const answerWithin = 1200;
-/** Bytes a millisecond of the slowest link that is borne: 0.26 Mbit/s. */
-const slowestLink = 32;
-/** Short enough that votes behind it on the same link are not late: 75 ms at 7 Mbit/s. */
-const pieceLength = 64 * 1024;
+const replyTimeoutMs = 1200;
+/** Throughput of the slowest supported link: 0.26 Mbit/s. */
+const minBytesPerMs = 32;
+/** Small enough not to delay votes that queue behind it on the same link: 75 ms at 7 Mbit/s. */
+const maxPieceBytes = 64 * 1024;
 
+/** Creates clients for single members. */
 export const MemberClient = {
-  of(needs: {
+  /** The client for one member, whose courier is looked up for each request. */
+  of(options: {
     readonly core: () => Frame.Core;
     readonly courierTo: (core: Frame.Core) => Courier | undefined;
     readonly meter: TransferMeter | undefined;
   }): MemberClient {
     const courier = (): Courier => {
-      const core = needs.core();
-      const found = needs.courierTo(core);
-      if (!found?.reaches(core)) throw Failure.of('link', `no courier to the disk of ${core.node}`);
+      const core = options.core();
+      const found = options.courierTo(core);
+      if (!found?.reaches(core)) throw Failure.of('link', `no link to the disk of ${core.node}`);
       return found;
     };
-    const unexpected = (kind: string) => Failure.of('frame', `unexpected ${kind}`);
-    const ask = (request: Parameters<Courier['ask']>[0], length: number): Promise<Frame.Reply> =>
-      courier().ask(request, answerWithin + length / slowestLink);
-    const position = async (...asked: Parameters<typeof ask>): Promise<MemberClient.Position> => {
-      const reply = await ask(...asked);
+    const unexpected = (kind: string) => Failure.of('frame', `unexpected reply of kind ${kind}`);
+    const ask = (request: Parameters<Courier['ask']>[0], byteLength: number): Promise<Frame.Reply> =>
+      courier().ask(request, replyTimeoutMs + byteLength / minBytesPerMs);
+    const position = async (...args: Parameters<typeof ask>): Promise<MemberClient.Position> => {
+      const reply = await ask(...args);
       if (reply.kind !== 'position') throw unexpected(reply.kind);
       return reply;
     };
@@ -75,9 +83,9 @@
           },
           0,
         ),
-      piece(epoch, { bytes: all, digest }, offset) {
-        const bytes = all.subarray(offset, offset + pieceLength);
-        needs.meter?.sent(bytes.length);
+      piece(epoch, { bytes: payload, digest }, offset) {
+        const bytes = payload.subarray(offset, offset + maxPieceBytes);
+        options.meter?.recordSent(bytes.length);
         const check = TransferAssembly.digestOf(bytes);
         return position({ kind: 'piece', epoch, digest, offset, bytes, check }, bytes.length);
       },
@@ -85,7 +93,8 @@
         const { protocol } = courier();
         if (!protocol) return Protocol.none;
         const known = protocol();
-        if (known === undefined) throw Failure.of('link', `${needs.core().node} has told no protocol yet`);
+        if (known === undefined)
+          throw Failure.of('link', `${options.core().node} has not reported its protocol version yet`);
         return known;
       },
     };
--- a/src/replica/payload.ts
+++ b/src/replica/payload.ts
@@ -1,57 +1,63 @@
-// What a transfer carries: a snapshot, which is one record of a whole state, or a tail, which is the records of
-// the changes since a state that the receiver holds. The digest names the payload.
+/**
+ * The content of a transfer: a snapshot, which is one record of a full state, or a tail, which is the records of the
+ * changes since a state that the receiver holds. The digest identifies the payload.
+ */
 import { Failure } from '../kinds/failure.js';
 import { Stamp } from '../kinds/stamp.js';
 import { State } from '../store/state.js';
 import { Store } from '../store/store.js';
 import { TransferAssembly } from './transfer-assembly.js';
 
-/** The bytes of a transfer and the state that they lead to. */
+/** The bytes of a transfer and the state that they produce. */
 export type Payload = {
-  /** The state that a tail goes out from; null for a snapshot. */
+  /** The state that a tail applies to; null for a snapshot. */
   readonly previous: Stamp | null;
   readonly target: Stamp;
   readonly bytes: Uint8Array;
   readonly digest: string;
 };
 
-const lengthBytes = 4;
+const lengthPrefixBytes = 4;
 
+/** Concatenates records, each with a length prefix. */
 const join = (records: readonly Uint8Array[]): Buffer => {
   const parts = records.flatMap((record) => {
-    const length = Buffer.alloc(lengthBytes);
+    const length = Buffer.alloc(lengthPrefixBytes);
     length.writeUInt32BE(record.length);
     return [length, record];
   });
   return Buffer.concat(parts);
 };
 
+/** The inverse of `join`. */
 const split = (bytes: Buffer): Buffer[] => {
   const records: Buffer[] = [];
   for (let at = 0; at < bytes.length; ) {
-    const end = at + lengthBytes + bytes.readUInt32BE(at);
-    if (end > bytes.length) throw Failure.of('frame', 'a tail cut short', { length: bytes.length });
-    records.push(bytes.subarray(at + lengthBytes, end));
+    const end = at + lengthPrefixBytes + bytes.readUInt32BE(at);
+    if (end > bytes.length) throw Failure.of('frame', 'truncated tail', { length: bytes.length });
+    records.push(bytes.subarray(at + lengthPrefixBytes, end));
     at = end;
   }
   return records;
 };
 
-const make = (previous: Stamp | null, target: Stamp, bytes: Uint8Array): Payload => ({
+const create = (previous: Stamp | null, target: Stamp, bytes: Uint8Array): Payload => ({
   previous,
   target,
   bytes,
   digest: TransferAssembly.digestOf(bytes),
 });
 
+/** Builds and applies payloads. */
 export const Payload = {
+  /** A payload of the full state. */
   snapshot: (state: State): Payload =>
-    make(null, state.stamp, Store.encode({ kind: 'whole', stamp: state.stamp, state })),
-  /** Records as `Store.encode` makes them, in the order of their changes. */
+    create(null, state.stamp, Store.encode({ kind: 'whole', stamp: state.stamp, state })),
+  /** A payload of records as encoded by `Store.encode`, in the order of their changes. */
   tail: (previous: Stamp, target: Stamp, records: readonly Uint8Array[]): Payload =>
-    make(previous, target, join(records)),
-  /** The state that the payload leads to from the state held; throws where it is not what was offered. */
-  apply(held: State, { transfer, bytes }: TransferAssembly.Finished): State {
+    create(previous, target, join(records)),
+  /** The state that results from applying the payload to the state held; throws if it differs from the offer. */
+  apply(held: State, { transfer, bytes }: TransferAssembly.Completed): State {
     const records = transfer.previous ? split(bytes) : [bytes];
     const changes = records.map((record) => Store.decode(record));
     let state = held;
--- a/src/replica/primary.ts
+++ b/src/replica/primary.ts
@@ -1,6 +1,8 @@
-// The primary: acknowledges changes of the state. A change is acknowledged once it is synced here and at every
-// other core in sync, and never by fewer disks than may be lost at once and one more. The parts of its work are
-// modules of their own; here they are put together, and run one at a time where they must not mix.
+/**
+ * The primary acknowledges changes of the state. A change is acknowledged once it is synced locally and at every
+ * other core in sync, which is always on at least one disk more than may be lost at the same time. This module
+ * combines the parts of that work and serializes those that must not overlap.
+ */
 import { Ballot } from '../epoch/ballot.js';
 import type { Proposer } from '../epoch/proposer.js';
 import { Term } from '../epoch/term.js';
@@ -28,81 +30,101 @@
 import type { TransferMeter } from './transfer-meter.js';
 import { TransferSource } from './transfer-source.js';
 
-/** A core's leadership, from the change of the register that made it primary until it is deposed. */
+/** A core's leadership, from the register change that made it primary until it is deposed. */
 export type Primary = {
+  /** The term that this core leads under. */
   readonly term: () => Term;
   /** The newest acknowledged state. */
   readonly state: () => State;
+  /** Whether the leadership has not been deposed. */
   readonly isLeading: () => boolean;
+  /** When the newest confirmation of the term by a majority was requested. */
   readonly confirmedAt: () => Moment;
-  /** Whether a majority confirms the term and the leadership was open when it was asked. */
+  /** Whether a majority confirms the term, and the leadership had acknowledged a change when they were asked. */
   readonly confirm: () => Promise<boolean>;
-  /** Makes a change under a new stamp and resolves with the acknowledged state; `make` may decline. */
+  /** Commits a change under a new stamp and resolves with the acknowledged state; `make` may return none. */
   readonly commit: (make: (state: State, stamp: Stamp) => State.Change | undefined) => Promise<State>;
-  /** Replaces backups that are gone, and hands over where the own disk is broken. */
+  /** Replaces unreachable backups, and steps down if the local store is broken. */
   readonly maintain: () => Promise<void>;
   /**
-   * Tells the chosen term again where a core that it lists has accepted none or another one, so that a majority
-   * confirms it also when others are lost; under a higher ballot if that core has promised one.
+   * Announces the chosen term again if one of its cores has accepted none or another one, so that a majority still
+   * confirms it when other cores are lost; under a higher ballot if that core has promised one.
    */
   readonly announce: (votes: readonly Vote[]) => Promise<void>;
-  /** Takes a core in; resolves with the reason where it was not taken, else with an empty text. */
+  /** Adds a core; resolves with the reason if it was not added, else with an empty string. */
   readonly join: (core: Frame.Core) => Promise<string>;
-  /** Releases a core that is about to end; resolves with the reason where it can't be released yet. */
+  /**
+   * Releases a core that is shutting down; resolves with the reason if it can't be released yet, else with an empty
+   * string.
+   */
   readonly leave: (core: Frame.Core, successor: Frame.Core | null) => Promise<string>;
-  /** A core that asked to be taken in just now and is up. */
+  /** A core that asked to join recently, preferably one that is reachable. */
   readonly joiningCore: () => Frame.Core | undefined;
-  /** Lets a backup take over; resolves with the reason where none did. */
+  /** Asks the backups to take over; resolves with the reason if none did, else with an empty string. */
   readonly transferLeadership: () => Promise<string>;
-  /** Goes on under an epoch above that of the stamp. */
+  /** Continues under an epoch above that of the stamp, unless the current one already is. */
   readonly raiseEpoch: (above: Stamp) => Promise<void>;
-  /** How far each other member of the term has followed. */
+  /** The replication progress of each other member of the term. */
   readonly members: () => readonly Primary.Member[];
-  /** How many members of the term have not confirmed the acknowledged state yet. */
+  /** The number of members of the term that have not confirmed the acknowledged state yet. */
   readonly laggingMembers: () => number;
+  /** Ends the leadership permanently. */
   readonly depose: (why: string) => void;
+  /** Resolves with the reason once deposed. */
   readonly deposed: Promise<string>;
 };
 
+/** Types of the primary. */
 export declare namespace Primary {
-  type Needs = {
+  /** What a primary is built from. */
+  type Options = {
     readonly disk: string;
     readonly term: Term;
     readonly ballot: Ballot;
+    /** How many cores may be lost at the same time. */
     readonly losses: number;
     readonly store: Store;
     readonly proposer: Proposer;
     readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    /** Called with each state when it is acknowledged. */
     readonly publish: (state: State, term: Term) => void;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
     readonly meter?: TransferMeter;
   };
+  /** The replication progress of one member. */
   type Member = Follower.Progress & {
     readonly core: Frame.Core;
-    /** Whether it has confirmed the acknowledged state under the term in force. */
+    /** Whether it has confirmed the acknowledged state under the current term. */
     readonly isCurrent: boolean;
-    /** Milliseconds since its disk was last heard of. */
+    /** Milliseconds since its disk was last reachable. */
     readonly downFor: number;
   };
 }
 
-const partsOf = (needs: Primary.Needs) => {
-  const { proposer, courierTo, losses, store, note, meter } = needs;
-  const leadership = Leadership.of(needs.disk, needs.term, needs.ballot);
+const createComponents = (options: Primary.Options) => {
+  const { proposer, courierTo, losses, store, note, meter } = options;
+  const leadership = Leadership.of(options.disk, options.term, options.ballot);
   const termChange = TermChange.of({ leadership, proposer, note });
-  const first = store.state().stamp;
-  const log = ChangeLog.from(first);
+  const initialStamp = store.state().stamp;
+  const log = ChangeLog.from(initialStamp);
   const source = TransferSource.of(log);
-  const followers = Followers.of({ leadership, courierTo, source, first, meter });
+  const followers = Followers.of({ leadership, courierTo, source, initialStamp, meter });
   const replication = Replication.of({ leadership, termChange, followers, losses, note });
-  const handOver = LeadershipTransfer.of({ leadership, courierTo, note });
-  const publish = (state: State) => needs.publish(state, leadership.term());
-  const states = Acknowledgement.of({ leadership, store, log, replication, handOver, publish });
-  const maintenance = Maintenance.of({ leadership, followers, replication, handOver, store, states });
+  const stepDown = LeadershipTransfer.of({ leadership, courierTo, note });
+  const publish = (state: State) => options.publish(state, leadership.term());
+  const acknowledgement = Acknowledgement.of({ leadership, store, log, replication, stepDown, publish });
+  const maintenance = Maintenance.of({
+    leadership,
+    followers,
+    replication,
+    stepDown,
+    store,
+    acknowledgement,
+  });
   const { replaceBackups } = maintenance;
   const swapOut = async (disk: string) => {
-    await states.resolve();
-    await replication.tryWithout(states.state(), disk);
+    await acknowledgement.acknowledgePending();
+    await replication.tryReplicateWithout(acknowledgement.state(), disk);
   };
   const membership = MembershipChange.of({
     leadership,
@@ -112,67 +134,74 @@
     replaceBackups,
     swapOut,
   });
-  return { leadership, termChange, followers, states, maintenance, membership };
+  return { leadership, termChange, followers, acknowledgement, maintenance, membership };
 };
 
-/** Whether a vote comes from a core of the term that does not hold it. */
-const isMissing = (term: Term) => (vote: Vote) =>
+/** Whether a vote comes from a core of the term that has not accepted the term. */
+const lacksTerm = (term: Term) => (vote: Vote) =>
   Term.has(term, vote.core.disk) && !(vote.term && Term.isSame(vote.term, term));
-const isAbove = (ballot: Ballot) => (vote: Vote) => Ballot.compare(vote.promised ?? Ballot.none, ballot) > 0;
+/** Whether the voter has promised a ballot above the given one. */
+const hasPromisedAbove = (ballot: Ballot) => (vote: Vote) =>
+  Ballot.compare(vote.promised ?? Ballot.none, ballot) > 0;
 
+/** Creates the primary side of a core. */
 export const Primary = {
-  of(needs: Primary.Needs): Primary {
-    const { leadership, termChange, followers, states, maintenance, membership } = partsOf(needs);
+  /** Starts a leadership under a term which the register has just chosen. */
+  of(options: Primary.Options): Primary {
+    const { leadership, termChange, followers, acknowledgement, maintenance, membership } =
+      createComponents(options);
     const turns = Turns.of();
+    /** Whether this leadership has acknowledged a change, so that its state may be read. */
     let isOpen = false;
-    const confirmation = Confirmation.begin(leadership, needs.proposer);
-    const acknowledged = () => (isOpen ? states.state() : undefined);
-    const catchUp = CatchUp.begin({ leadership, followers, acknowledged, note: needs.note });
+    const confirmation = Confirmation.start(leadership, options.proposer);
+    const acknowledged = () => (isOpen ? acknowledgement.state() : undefined);
+    const catchUp = CatchUp.start({ leadership, followers, acknowledged, note: options.note });
     const commit = async (make: Parameters<Primary['commit']>[0]): Promise<State> => {
       leadership.mustLead();
-      await states.resolve();
-      const revision = Revision.after(needs.store.state().stamp.revision);
-      const change = make(states.state(), { epoch: leadership.term().epoch, revision });
+      await acknowledgement.acknowledgePending();
+      const revision = Revision.after(options.store.state().stamp.revision);
+      const change = make(acknowledgement.state(), { epoch: leadership.term().epoch, revision });
       if (change) {
-        await states.write(change);
+        await acknowledgement.write(change);
         isOpen = true;
       }
-      return states.state();
+      return acknowledgement.state();
     };
-    let isWritingBack = false;
-    const writeBack = () => {
-      if (isWritingBack) return;
-      isWritingBack = true;
+    let isRewritePending = false;
+    /** Writes the current term back under a new ballot; at most one such change is queued. */
+    const rewriteTerm = () => {
+      if (isRewritePending) return;
+      isRewritePending = true;
       void turns
         .take(async () => void (leadership.isLeading() && (await termChange.change(() => undefined))))
         .catch(() => undefined)
         .finally(() => {
-          isWritingBack = false;
+          isRewritePending = false;
         });
     };
-    const yieldLeadership = async () => {
+    const transferLeadership = async () => {
       leadership.mustLead();
-      await states.resolve();
-      return LeadershipTransfer.byRequest({ leadership, courierTo: needs.courierTo });
+      await acknowledgement.acknowledgePending();
+      return LeadershipTransfer.request({ leadership, courierTo: options.courierTo });
     };
     const raiseEpoch = async (above: Stamp) => {
       leadership.mustLead();
       if (above.epoch >= leadership.term().epoch) await termChange.raiseEpoch(above.epoch);
     };
     const announce = async (votes: readonly Vote[]) => {
-      const missing = votes.filter(isMissing(leadership.term()));
-      if (missing.some(isAbove(leadership.ballot()))) writeBack();
-      else if (missing.length > 0) await termChange.announce();
+      const lacking = votes.filter(lacksTerm(leadership.term()));
+      if (lacking.some(hasPromisedAbove(leadership.ballot()))) rewriteTerm();
+      else if (lacking.length > 0) await termChange.announce();
     };
     const memberOf = (core: Frame.Core): Primary.Member => ({
       core,
       ...followers.progress(core),
-      isCurrent: followers.hasConfirmed(core, states.state().stamp),
+      isCurrent: followers.hasConfirmed(core, acknowledgement.state().stamp),
       downFor: followers.downFor(core),
     });
     return {
       term: leadership.term,
-      state: states.state,
+      state: acknowledgement.state,
       isLeading: leadership.isLeading,
       confirmedAt: confirmation.confirmedAt,
       depose: leadership.depose,
@@ -188,13 +217,13 @@
       join: (core) => turns.take(() => membership.join(core)),
       leave: (core, successor) => turns.take(() => membership.leave(core, successor)),
       joiningCore: membership.joiningCore,
-      transferLeadership: () => turns.take(yieldLeadership),
+      transferLeadership: () => turns.take(transferLeadership),
       members: () =>
         leadership
           .term()
           .cores.filter(({ disk }) => disk !== leadership.disk)
           .map(memberOf),
-      laggingMembers: catchUp.behind,
+      laggingMembers: catchUp.laggingMembers,
     };
   },
 };
--- a/src/replica/replication-round.ts
+++ b/src/replica/replication-round.ts
@@ -1,4 +1,4 @@
-// One state on its way to the other cores: who was asked for it, who holds it, and who failed and when.
+/** One state being replicated to the other cores: which were sent it, which hold it, and which failed and when. */
 import type { Epoch } from '../kinds/epoch.js';
 import { Failure } from '../kinds/failure.js';
 import { Moment } from '../kinds/moment.js';
@@ -7,75 +7,78 @@
 import type { Frame } from '../wire/frame.js';
 import type { Followers } from './followers.js';
 
-/** The progress of one state at the other cores. */
+/** The replication progress of one state at the other cores. */
 export type ReplicationRound = {
-  /** The disk of a core that is about to leave and is not asked. */
+  /** The disk of a core that is leaving and is therefore not sent the state. */
   readonly leaving: string | undefined;
-  /** The disks that have confirmed the state since this round began, under this epoch. */
+  /** The disks that have confirmed the state under this epoch since the round started. */
   readonly holders: (epoch: Epoch) => ReadonlySet<string>;
+  /** Whether a request has failed since the failures were last cleared. */
   readonly hasFailures: () => boolean;
-  /** Whether no request is under way. */
+  /** Whether no request is in progress. */
   readonly isIdle: () => boolean;
-  /** The failures so far do not count any more: another term is in force. */
-  readonly forgiveFailures: () => void;
-  /** Brings a core to the state, unless that is under way. */
-  readonly offer: (core: Frame.Core) => void;
-  /** Brings each of these cores to it that is up, has not confirmed it under the epoch and did not fail just now. */
-  readonly offerAgain: (cores: readonly Frame.Core[], epoch: Epoch) => void;
-  /** Waits until a request has ended, for `span` milliseconds at most. */
-  readonly moved: (span: number) => Promise<void>;
+  /** Clears the recorded failures, because another term is in force. */
+  readonly clearFailures: () => void;
+  /** Sends the state to a core, unless that is in progress. */
+  readonly send: (core: Frame.Core) => void;
+  /** Sends it to each of these cores that is up, has not confirmed it under the epoch and has not failed recently. */
+  readonly sendMissing: (cores: readonly Frame.Core[], epoch: Epoch) => void;
+  /** Waits until a request has ended, for at most `timeoutMs`. */
+  readonly waitForReply: (timeoutMs: number) => Promise<void>;
 };
 
-const offerAgainAfter = 300;
+const retryDelayMs = 300;
 
+/** Creates replication rounds. */
 export const ReplicationRound = {
-  of(needs: {
+  /** A round in which nothing has been sent yet. */
+  of(options: {
     readonly followers: Followers;
     readonly disk: string;
     readonly state: State;
-    /** A disk that is offered nothing, since its core is about to leave. */
+    /** A disk that is not sent the state, because its core is leaving. */
     readonly leaving?: string | undefined;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   }): ReplicationRound {
-    const { followers, state } = needs;
+    const { followers, state } = options;
     const confirmed = new Map<string, Epoch>();
     const asked = new Set<string>();
     const failedAt = new Map<string, Moment>();
     let ended = Signal.of();
-    const offer: ReplicationRound['offer'] = (core) => {
+    const send: ReplicationRound['send'] = (core) => {
       if (asked.has(core.disk)) return;
       asked.add(core.disk);
       const fail = (error: unknown) => {
         failedAt.set(core.disk, Moment.now());
-        needs.note('backup did not confirm', { node: core.node, why: Failure.text(error) });
+        options.note('backup did not confirm', { node: core.node, why: Failure.text(error) });
       };
       void followers
-        .bring(core, state)
+        .replicate(core, state)
         .then((epoch) => void confirmed.set(core.disk, epoch), fail)
         .finally(() => {
           asked.delete(core.disk);
           ended.ring();
         });
     };
-    const mayBeOffered = (core: Frame.Core, epoch: Epoch) =>
-      core.disk !== needs.disk &&
-      core.disk !== needs.leaving &&
+    const needsState = (core: Frame.Core, epoch: Epoch) =>
+      core.disk !== options.disk &&
+      core.disk !== options.leaving &&
       confirmed.get(core.disk) !== epoch &&
       followers.downFor(core) === 0 &&
-      Moment.since(failedAt.get(core.disk) ?? Moment.past) > offerAgainAfter;
+      Moment.since(failedAt.get(core.disk) ?? Moment.past) > retryDelayMs;
     return {
-      leaving: needs.leaving,
+      leaving: options.leaving,
       holders: (epoch) => new Set([...confirmed].flatMap(([disk, under]) => (under === epoch ? [disk] : []))),
       hasFailures: () => failedAt.size > 0,
       isIdle: () => asked.size === 0,
-      forgiveFailures: () => failedAt.clear(),
-      offer,
-      offerAgain(cores, epoch) {
-        for (const core of cores) if (mayBeOffered(core, epoch)) offer(core);
+      clearFailures: () => failedAt.clear(),
+      send,
+      sendMissing(cores, epoch) {
+        for (const core of cores) if (needsState(core, epoch)) send(core);
       },
-      moved(span) {
+      waitForReply(timeoutMs) {
         ended = Signal.of();
-        return ended.within(span);
+        return ended.within(timeoutMs);
       },
     };
   },
--- a/src/replica/term-change.ts
+++ b/src/replica/term-change.ts
@@ -1,39 +1,43 @@
-// Changes of the register that a primary makes under its own leadership. Each goes out from the term that it
-// leads under; a change that finds another primary's term deposes it, and one whose outcome is unknown leaves
-// the leadership unsure until a later change has settled it.
+/**
+ * Register changes that a primary makes under its own leadership. Each is based on the term that it leads under. A
+ * change that finds another primary's term deposes this one, and a change with an unknown outcome leaves the
+ * leadership uncertain until a later change settles it.
+ */
 import type { Proposer } from '../epoch/proposer.js';
 import { Term } from '../epoch/term.js';
 import { Epoch } from '../kinds/epoch.js';
 import type { Leadership } from './leadership.js';
 
-/** The primary's changes of the register. */
+/** Register changes of the primary. */
 export type TermChange = {
-  /** Changes the term by `next`, which may decline; true once the changed term is chosen and adopted. */
+  /** Changes the term by `next`, which may return none; resolves true once the changed term is chosen and adopted. */
   readonly change: (next: (from: Term) => Term | undefined) => Promise<boolean>;
-  /** Goes on under an epoch above the given one. */
+  /** Changes to an epoch above the given one. */
   readonly raiseEpoch: (above: Epoch) => Promise<boolean>;
-  /** Tells all cores the term that was chosen, so that those who missed it accept it too. */
+  /** Sends the chosen term to all cores, so that those that missed it accept it too. */
   readonly announce: () => Promise<void>;
 };
 
+/** Creates the register changes of a primary. */
 export const TermChange = {
-  of(needs: {
+  /** The register changes of one leadership. */
+  of(options: {
     readonly leadership: Leadership;
     readonly proposer: Proposer;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   }): TermChange {
-    const { leadership, proposer } = needs;
+    const { leadership, proposer } = options;
     const change: TermChange['change'] = async (next) => {
       const from = leadership.term();
       leadership.beginChange();
       const result = await proposer.change((base) =>
         base.epoch === from.epoch && base.primary === leadership.disk ? next(base) : undefined,
       );
-      leadership.settle(result.term !== undefined);
+      leadership.endChange(result.term !== undefined);
       if (!result.term) return false;
       if (result.isDone) {
         leadership.adopt(result.term, result.ballot);
-        needs.note('register changed', { term: Term.text(result.term) });
+        options.note('register changed', { term: Term.text(result.term) });
         return true;
       }
       if (result.term.primary === leadership.disk) leadership.adopt(result.term, result.ballot);
--- a/src/replica/transfer-assembly.ts
+++ b/src/replica/transfer-assembly.ts
@@ -1,30 +1,40 @@
-// The receiver's part of a transfer: pieces put together in memory, in order, each checked by its own digest and
-// all of them by the digest of the whole. It outlives the link, so that a transfer goes on where it stopped.
+/**
+ * The receiving side of a transfer: assembles pieces in memory and in order. Each piece is checked against its own
+ * digest, and the complete payload against the digest of the whole. The assembly outlives the link, so that a transfer
+ * resumes at the offset it had reached.
+ */
 import { createHash, type Hash } from 'node:crypto';
 import { Stamp } from '../kinds/stamp.js';
 import { Frame } from '../wire/frame.js';
 
-/** At most one transfer under way, the newest one offered. */
+/** Holds at most one transfer in progress: the newest one offered. */
 export type TransferAssembly = {
-  /** Begins a transfer, or goes on with it where it is under way; false where a newer one is. */
+  /**
+   * Starts a transfer, or resumes it if it is in progress; returns false if it is too long or a newer one is in
+   * progress.
+   */
   readonly begin: (transfer: TransferAssembly.Transfer) => boolean;
-  /** Adds the next piece of the transfer under way; any other is left aside. */
+  /** Adds the next piece of the transfer in progress; ignores any other piece. */
   readonly add: (piece: Pick<Extract<Frame.Request, { kind: 'piece' }>, TransferAssembly.PieceField>) => void;
-  /** The bytes received of the transfer with this digest. */
+  /** The number of bytes received of the transfer with this digest. */
   readonly offset: (digest: string) => number;
-  /** The transfer under way, once all of its bytes are there. */
-  readonly finished: () => TransferAssembly.Finished | undefined;
-  /** Forgets the transfer with this digest. */
-  readonly end: (digest: string) => void;
+  /** The transfer in progress, once all of its bytes have been received. */
+  readonly completed: () => TransferAssembly.Completed | undefined;
+  /** Discards the transfer with this digest. */
+  readonly discard: (digest: string) => void;
 };
 
+/** Types of the transfer assembly. */
 export declare namespace TransferAssembly {
+  /** The fields of a piece that assembling it needs. */
   type PieceField = 'digest' | 'offset' | 'bytes' | 'check';
+  /** What an offer says of the transfer that it announces. */
   type Transfer = Omit<Extract<Frame.Request, { kind: 'offer' }>, 'kind' | 'serial'>;
-  type Finished = { readonly transfer: Transfer; readonly bytes: Buffer };
+  /** A transfer with all of its bytes. */
+  type Completed = { readonly transfer: Transfer; readonly bytes: Buffer };
 }
 
-type UnderWay = {
+type InProgress = {
   readonly transfer: TransferAssembly.Transfer;
   readonly bytes: Buffer;
   readonly hash: Hash;
@@ -33,14 +43,16 @@
 
 const digestOf = (bytes: Uint8Array): string => createHash('sha256').update(bytes).digest('base64');
 
+/** Creates transfer assemblies and computes their digests. */
 export const TransferAssembly = {
-  /** The digest of a piece or of a whole transfer. */
+  /** The SHA-256 digest, in base64, of a piece or of a complete payload. */
   digestOf,
+  /** An assembly with no transfer in progress. */
   of(): TransferAssembly {
-    let underWay: UnderWay | undefined;
-    const begin = (transfer: TransferAssembly.Transfer) => {
+    let current: InProgress | undefined;
+    const start = (transfer: TransferAssembly.Transfer) => {
       const bytes = Buffer.allocUnsafe(transfer.length);
-      underWay = { transfer, bytes, hash: createHash('sha256'), length: 0 };
+      current = { transfer, bytes, hash: createHash('sha256'), length: 0 };
     };
     const isNewer = (transfer: TransferAssembly.Transfer, than: TransferAssembly.Transfer): boolean =>
       transfer.epoch > than.epoch ||
@@ -48,27 +60,27 @@
     return {
       begin(transfer) {
         if (transfer.length > Frame.longest) return false;
-        if (underWay?.transfer.digest === transfer.digest) return true;
-        if (underWay && !isNewer(transfer, underWay.transfer)) return false;
-        begin(transfer);
+        if (current?.transfer.digest === transfer.digest) return true;
+        if (current && !isNewer(transfer, current.transfer)) return false;
+        start(transfer);
         return true;
       },
       add({ digest, offset, bytes, check }) {
-        if (underWay?.transfer.digest !== digest || underWay.length !== offset) return;
-        if (offset + bytes.length > underWay.transfer.length || digestOf(bytes) !== check) return;
-        underWay.bytes.set(bytes, offset);
-        underWay.hash.update(bytes);
-        underWay.length += bytes.length;
-        if (underWay.length < underWay.transfer.length) return;
-        if (underWay.hash.copy().digest('base64') !== digest) begin(underWay.transfer);
+        if (current?.transfer.digest !== digest || current.length !== offset) return;
+        if (offset + bytes.length > current.transfer.length || digestOf(bytes) !== check) return;
+        current.bytes.set(bytes, offset);
+        current.hash.update(bytes);
+        current.length += bytes.length;
+        if (current.length < current.transfer.length) return;
+        if (current.hash.copy().digest('base64') !== digest) start(current.transfer);
       },
-      offset: (digest) => (underWay?.transfer.digest === digest ? underWay.length : 0),
-      finished() {
-        if (!underWay || underWay.length < underWay.transfer.length) return undefined;
-        return { transfer: underWay.transfer, bytes: underWay.bytes };
+      offset: (digest) => (current?.transfer.digest === digest ? current.length : 0),
+      completed() {
+        if (!current || current.length < current.transfer.length) return undefined;
+        return { transfer: current.transfer, bytes: current.bytes };
       },
-      end(digest) {
-        if (underWay?.transfer.digest === digest) underWay = undefined;
+      discard(digest) {
+        if (current?.transfer.digest === digest) current = undefined;
       },
     };
   },
--- a/src/replica/transfer-meter.ts
+++ b/src/replica/transfer-meter.ts
@@ -1,16 +1,23 @@
-// Counts of what transfers between cores moved, for the metrics of a core. One meter serves a core for its whole
-// life, as primary and as backup.
+/**
+ * Counters of transfers between cores, for the metrics of a core. One meter serves a core for the lifetime of its
+ * process, both as primary and as backup.
+ */
 
-/** Bytes and payloads since the process began. */
+/** Counts bytes and payloads since the process started. */
 export type TransferMeter = {
-  readonly sent: (bytes: number) => void;
-  readonly received: (bytes: number) => void;
-  /** A snapshot or a tail was synced here. */
-  readonly taken: (kind: 'snapshot' | 'tail') => void;
+  /** Counts bytes sent as primary. */
+  readonly recordSent: (bytes: number) => void;
+  /** Counts bytes received as backup. */
+  readonly recordReceived: (bytes: number) => void;
+  /** Counts a snapshot or a tail that was synced here. */
+  readonly recordApplied: (kind: 'snapshot' | 'tail') => void;
+  /** The current values. */
   readonly counts: () => TransferMeter.Counts;
 };
 
+/** Types of the transfer meter. */
 export declare namespace TransferMeter {
+  /** The values of all counters. */
   type Counts = {
     readonly bytesSent: number;
     readonly bytesReceived: number;
@@ -19,17 +26,19 @@
   };
 }
 
+/** Creates transfer meters. */
 export const TransferMeter = {
+  /** A meter with all counters at zero. */
   of(): TransferMeter {
     const counts = { bytesSent: 0, bytesReceived: 0, snapshotsTaken: 0, tailsTaken: 0 };
     return {
-      sent(bytes) {
+      recordSent(bytes) {
         counts.bytesSent += bytes;
       },
-      received(bytes) {
+      recordReceived(bytes) {
         counts.bytesReceived += bytes;
       },
-      taken(kind) {
+      recordApplied(kind) {
         if (kind === 'snapshot') counts.snapshotsTaken += 1;
         else counts.tailsTaken += 1;
       },
--- a/src/replica/transfer-source.ts
+++ b/src/replica/transfer-source.ts
@@ -1,19 +1,23 @@
-// What a member that stands behind is sent next: one change, a tail of changes, or a snapshot, whichever is
-// shorter. Members that need a snapshot at the same time share one.
+/**
+ * Selects what to send next to a member that is behind: one change, a tail of changes, or a snapshot, whichever is
+ * shorter. Members that need a snapshot at the same time share one.
+ */
 import { Stamp } from '../kinds/stamp.js';
 import type { State } from '../store/state.js';
 import type { ChangeLog } from './change-log.js';
 import { Payload } from './payload.js';
 
-/** The primary's choice of what to send. */
+/** Selects and encodes what the primary sends. */
 export type TransferSource = {
-  /** What leads a member that holds `held` to the target state, or at least nearer to it. */
+  /** What brings a member that holds `held` to the target state, or at least closer to it. */
   readonly next: (held: Stamp, target: State) => TransferSource.Next;
-  /** The whole state as one record, for members that know no transfers. */
-  readonly whole: (state: State) => Uint8Array;
+  /** The full state as one record, for members that do not support transfers. */
+  readonly snapshotRecord: (state: State) => Uint8Array;
 };
 
+/** Types of the transfer source. */
 export declare namespace TransferSource {
+  /** One change for a single frame, or a payload to transfer in pieces. */
   type Next =
     | {
         readonly kind: 'change';
@@ -24,16 +28,18 @@
     | { readonly kind: 'transfer'; readonly payload: Payload };
 }
 
-/** A change up to this length goes out in one frame; a longer one would hold up votes on the same link. */
-const longestInOneFrame = 128 * 1024;
+/** A longer change is sent in pieces, because in one frame it would delay votes on the same link. */
+const maxSingleFrameBytes = 128 * 1024;
 
-const lengthOf = (records: readonly Uint8Array[]): number =>
+const totalLength = (records: readonly Uint8Array[]): number =>
   records.reduce((sum, record) => sum + record.length, 0);
 
+/** Creates transfer sources. */
 export const TransferSource = {
+  /** A source that takes changes from the log and has no snapshot yet. */
   of(log: ChangeLog): TransferSource {
     let snapshot: Payload | undefined;
-    /** The last snapshot made, where the changes since are at hand; else a new one. */
+    /** The last snapshot if the log holds the changes since then, else a new one. */
     const snapshotFor = (held: Stamp, target: State): Payload => {
       const isUsable =
         snapshot &&
@@ -43,21 +49,21 @@
       return snapshot!;
     };
     return {
-      whole(state) {
+      snapshotRecord(state) {
         if (!snapshot || !Stamp.isSame(snapshot.target, state.stamp)) snapshot = Payload.snapshot(state);
         return snapshot.bytes;
       },
       next(held, target) {
         const records = log.between(held, target.stamp);
-        if (records?.length === 1 && records[0]!.length <= longestInOneFrame)
+        if (records?.length === 1 && records[0]!.length <= maxSingleFrameBytes)
           return { kind: 'change', previous: held, target: target.stamp, record: records[0]! };
-        if (records && lengthOf(records) <= (snapshot?.bytes.length ?? longestInOneFrame))
+        if (records && totalLength(records) <= (snapshot?.bytes.length ?? maxSingleFrameBytes))
           return { kind: 'transfer', payload: Payload.tail(held, target.stamp, records) };
-        const whole = snapshotFor(held, target);
-        const isTailShorter = records && lengthOf(records) <= whole.bytes.length;
+        const shared = snapshotFor(held, target);
+        const isTailShorter = records && totalLength(records) <= shared.bytes.length;
         return {
           kind: 'transfer',
-          payload: isTailShorter ? Payload.tail(held, target.stamp, records) : whole,
+          payload: isTailShorter ? Payload.tail(held, target.stamp, records) : shared,
         };
       },
     };
--- a/test/replication.test.ts
+++ b/test/replication.test.ts
@@ -1,5 +1,7 @@
-// The parts of replication by themselves: which confirmations count, who is put in sync, and what a member that
-// stands behind is sent.
+/**
+ * Unit tests of the parts of replication: which confirmations count, which members are put in sync, and what a member
+ * that is behind is sent.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Ballot } from '../src/epoch/ballot.js';
@@ -29,16 +31,16 @@
 const changeTo = (revision: number): State.Change => ({ kind: 'opened', stamp: Stamp.of(1, revision) });
 const stateAt = (revision: number): State =>
   Array.from({ length: revision }, (_none, index) => changeTo(index + 1)).reduce(State.apply, State.empty);
-const turnsOfLoop = async (count = 20) => {
+const eventLoopTurns = async (count = 20) => {
   for (let turn = 0; turn < count; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 };
 
 describe('replication', () => {
   it('counts no confirmation that was asked for under an earlier term', async () => {
     const leadership = Leadership.of('a', termOf(1, ['a', 'b']), Ballot.none);
-    const asked: ((epoch: Epoch) => void)[] = [];
+    const requests: ((epoch: Epoch) => void)[] = [];
     const followers = {
-      bring: () => new Promise<Epoch>((resolve) => void asked.push(resolve)),
+      replicate: () => new Promise<Epoch>((resolve) => void requests.push(resolve)),
       downFor: () => 0,
     } as unknown as Followers;
     const replication = Replication.of({
@@ -52,13 +54,13 @@
     const done = replication.replicate(stateAt(1)).then((isLeading) => {
       isDone = isLeading;
     });
-    assert.equal(asked.length, 1);
+    assert.equal(requests.length, 1);
     leadership.adopt(termOf(2, ['a', 'b']), Ballot.none);
-    asked[0]!(Epoch.of(1));
-    await turnsOfLoop();
+    requests[0]!(Epoch.of(1));
+    await eventLoopTurns();
     assert.equal(isDone, false);
-    assert.equal(asked.length, 2, 'it is asked anew');
-    asked[1]!(Epoch.of(2));
+    assert.equal(requests.length, 2, 'it is asked anew');
+    requests[1]!(Epoch.of(2));
     await done;
     assert.equal(isDone, true);
   });
@@ -73,13 +75,13 @@
 });
 
 describe('a follower', () => {
-  const followerOf = (answers: Partial<MemberClient>, presumed = Stamp.of(1, 1)) => {
+  const createFollower = (replies: Partial<MemberClient>, assumedStamp = Stamp.of(1, 1)) => {
     const leadership = Leadership.of('a', termOf(1, ['a', 'b']), Ballot.none);
     const log = ChangeLog.from(Stamp.none);
     for (let revision = 1; revision <= 9; revision += 1) log.add(changeTo(revision));
-    const calls = { protocol: () => Protocol.transfers, ...answers } as MemberClient;
+    const client = { protocol: () => Protocol.transfers, ...replies } as MemberClient;
     const source = TransferSource.of(log);
-    const follower = Follower.of({ core: () => cores[1]!, leadership, calls, source, presumed });
+    const follower = Follower.of({ core: () => cores[1]!, leadership, client, source, assumedStamp });
     return { leadership, follower };
   };
   const appended = (isTaken: boolean, revision: number, floor = 1): MemberClient.Appended => ({
@@ -92,26 +94,26 @@
   });
 
   it('tells the epoch that a confirmation was asked for under, not the one in force when it came', async () => {
-    let answer: (reply: MemberClient.Appended) => void = () => {};
+    let resolveAppend: (reply: MemberClient.Appended) => void = () => {};
     const append = () =>
       new Promise<MemberClient.Appended>((resolve) => {
-        answer = resolve;
+        resolveAppend = resolve;
       });
-    const { leadership, follower } = followerOf({ append });
-    const brought = follower.bring(stateAt(2));
+    const { leadership, follower } = createFollower({ append });
+    const replicated = follower.replicate(stateAt(2));
     leadership.adopt(termOf(2, ['a', 'b']), Ballot.none);
-    answer(appended(true, 2));
-    assert.equal(await brought, Epoch.of(1));
+    resolveAppend(appended(true, 2));
+    assert.equal(await replicated, Epoch.of(1));
     assert.equal(follower.confirmed(Epoch.of(2)), undefined);
     assert.deepEqual(follower.confirmed(Epoch.of(1)), Stamp.of(1, 2));
   });
 
   it('confirms nothing where the member has promised a higher epoch, and tells the leadership of it', async () => {
-    const { leadership, follower } = followerOf({ append: async () => appended(false, 1, 7) });
-    await assert.rejects(follower.bring(stateAt(2)), /did not take it/);
+    const { leadership, follower } = createFollower({ append: async () => appended(false, 1, 7) });
+    await assert.rejects(follower.replicate(stateAt(2)), /rejected the state/);
     assert.equal(leadership.promised(), Epoch.of(7));
-    const above = followerOf({ append: async () => appended(true, 2, 7) });
-    await assert.rejects(above.follower.bring(stateAt(2)), /did not take it/);
+    const above = createFollower({ append: async () => appended(true, 2, 7) });
+    await assert.rejects(above.follower.replicate(stateAt(2)), /rejected the state/);
     assert.equal(above.follower.confirmed(Epoch.of(1)), undefined);
   });
 
@@ -128,7 +130,7 @@
       offset: 0,
       isWriting: false,
     });
-    const { follower } = followerOf(
+    const { follower } = createFollower(
       {
         async append(_epoch, previous) {
           appends.push(previous.revision);
@@ -145,7 +147,7 @@
       },
       Stamp.of(1, 3),
     );
-    await follower.bring(stateAt(4));
+    await follower.replicate(stateAt(4));
     assert.deepEqual(appends, [3]);
     assert.deepEqual([held, follower.confirmed(Epoch.of(1))], [4, Stamp.of(1, 4)]);
   });
--- a/tools/simulation/plant-list.ts
+++ b/tools/simulation/plant-list.ts
@@ -90,8 +90,8 @@
       '',
     ]),
     plant('an outcome of the register that is not known is relied on', 'replica/leadership.ts', [
-      'isUnsure = !isKnown;',
-      'isUnsure = false;',
+      'isOutcomeUnknown = !isKnown;',
+      'isOutcomeUnknown = false;',
     ]),
     plant(
       'a core that is not in sync takes over',
