--- a/src/replica/follower.ts
+++ b/src/replica/follower.ts
@@ -85,7 +85,7 @@
      */
     applyReply(reply: ReplyStatus, epoch: Epoch) {
       leadership.recordPromise(Epoch.of(reply.floor));
-      if (reply.floor > epoch) throw Failure.of('stale', `${core().node} rejected the state: ${reply.why}`);
+      if (reply.floor > epoch) throw Failure.of('stale', `${core().node} did not take it: ${reply.why}`);
       held = reply.held;
       lastReported = reply.held;
       if (!reply.isTaken) return;
@@ -112,7 +112,7 @@
   const epoch = () => leadership.term().epoch;
   const abort = (why: string): never => {
     payload = undefined;
-    throw Failure.of('stale', `${core().node} rejected the state: ${why}`);
+    throw Failure.of('stale', `${core().node} did not take it: ${why}`);
   };
   /** Applies the reply to a write. A rejection ends the task unless the state held changed, which explains it. */
   const applyWriteReply = (reply: ReplyStatus, requestEpoch: Epoch, before: Stamp) => {
@@ -163,7 +163,7 @@
    * The same for a version without transfers: one change if the member is one behind, else the full state in one
    * frame.
    */
-  const stepWithoutTransfers = async (target: State) => {
+  const legacyStep = async (target: State) => {
     const held = member.held();
     const next = held && !Stamp.isSame(held, target.stamp) ? source.next(held, target) : undefined;
     const requestEpoch = epoch();
@@ -178,8 +178,7 @@
     if (!reply.isTaken) member.invalidate();
   };
   return {
-    step: (target: State) =>
-      client.protocol() < Protocol.transfers ? stepWithoutTransfers(target) : step(target),
+    step: (target: State) => (client.protocol() < Protocol.transfers ? legacyStep(target) : step(target)),
     transfer: () => payload && { sent: offset, length: payload.bytes.length },
   };
 };
--- a/test/backup.test.ts
+++ b/test/backup.test.ts
@@ -1,5 +1,7 @@
-// What a member takes of a primary's frames: nothing from below the epoch it promised, no snapshot older than what it
-// holds, no transfer with a piece damaged or a change left out; and it confirms only what it has synced.
+/**
+ * Tests of what a backup accepts: nothing from below the epoch that it promised, no snapshot older than the state it
+ * holds, and no transfer with a damaged piece or a missing change. It confirms only what it has synced.
+ */
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -17,9 +19,9 @@
 import { Store } from '../src/store/store.js';
 import type { Frame } from '../src/wire/frame.js';
 
-type Standing = Extract<Frame.Reply, { kind: 'position' | 'appended' }>;
+type Reply = Extract<Frame.Reply, { kind: 'position' | 'appended' }>;
 
-const pieceLength = 1000;
+const pieceBytes = 1000;
 const folder = mkdtempSync(join(tmpdir(), 'bramblebend-backup-'));
 const epoch = Epoch.of(3);
 const changeTo = (revision: number): State.Change => ({
@@ -43,7 +45,7 @@
   );
 
 describe('a backup', () => {
-  let lives = 0;
+  let testCount = 0;
   let data: string;
   let store: Store;
   let register: Register;
@@ -51,8 +53,8 @@
   let beforeWrite: () => Promise<void>;
 
   beforeEach(async () => {
-    lives += 1;
-    data = join(folder, String(lives));
+    testCount += 1;
+    data = join(folder, String(testCount));
     beforeWrite = async () => {};
     const file = await File.open(data, 'register.log');
     register = await Register.open(file);
@@ -75,60 +77,65 @@
   afterEach(() => store.close());
   after(() => rmSync(folder, { recursive: true, force: true }));
 
-  const offer = async ({ previous, target, bytes, digest }: Payload, under = epoch) =>
+  const offer = async ({ previous, target, bytes, digest }: Payload, requestEpoch = epoch) =>
     (await backup.handleOffer({
       kind: 'offer',
       serial: 1,
-      epoch: under,
+      epoch: requestEpoch,
       previous,
       target,
       length: bytes.length,
       digest,
-    })) as Extract<Standing, { kind: 'position' }>;
-  const piece = async ({ bytes: all, digest }: Payload, offset: number, under = epoch, check = '') => {
-    const bytes = all.subarray(offset, offset + pieceLength);
+    })) as Extract<Reply, { kind: 'position' }>;
+  const piece = async (
+    { bytes: payload, digest }: Payload,
+    offset: number,
+    requestEpoch = epoch,
+    check = '',
+  ) => {
+    const bytes = payload.subarray(offset, offset + pieceBytes);
     return (await backup.handlePiece({
       kind: 'piece',
       serial: 1,
-      epoch: under,
+      epoch: requestEpoch,
       digest,
       offset,
       bytes,
       check: check || TransferAssembly.digestOf(bytes),
-    })) as Extract<Standing, { kind: 'position' }>;
+    })) as Extract<Reply, { kind: 'position' }>;
   };
   const sendAll = async (payload: Payload, until = payload.bytes.length) => {
     let { offset } = await offer(payload);
-    let last: Standing | undefined;
+    let last: Reply | undefined;
     while (offset < until) {
       last = await piece(payload, offset);
-      offset += pieceLength;
+      offset += pieceBytes;
     }
     return last;
   };
-  const append = async (revision: number, under = epoch) =>
+  const append = async (revision: number, requestEpoch = epoch) =>
     (await backup.handleAppend({
       kind: 'append',
       serial: 1,
-      epoch: under,
+      epoch: requestEpoch,
       previous: revision === 1 ? Stamp.none : Stamp.of(3, revision - 1),
       record: Store.encode(changeTo(revision)),
       whole: false,
-    })) as Standing;
+    })) as Reply;
 
   it('takes a snapshot in one durable write, and the changes since as a tail', async () => {
     const snapshot = snapshotAt(9);
-    assert.ok(snapshot.bytes.length > 3 * pieceLength);
-    assert.equal((await sendAll(snapshot, snapshot.bytes.length - pieceLength))?.isTaken, true);
+    assert.ok(snapshot.bytes.length > 3 * pieceBytes);
+    assert.equal((await sendAll(snapshot, snapshot.bytes.length - pieceBytes))?.isTaken, true);
     assert.deepEqual(store.state(), State.empty, 'nothing is held before the last piece');
     const last = await sendAll(snapshot);
     assert.deepEqual([last?.isTaken, last?.held], [true, Stamp.of(3, 9)]);
     assert.equal((await sendAll(tailOf(9, 14)))?.isTaken, true);
     assert.deepEqual(store.state(), stateAt(14));
     await store.close();
-    const again = await Store.open(data);
-    assert.deepEqual(again.state(), stateAt(14));
-    await again.close();
+    const reopened = await Store.open(data);
+    assert.deepEqual(reopened.state(), stateAt(14));
+    await reopened.close();
   });
 
   it('takes nothing from below the epoch promised, and the transfer under way stays as it was', async () => {
@@ -136,17 +143,17 @@
     await offer(snapshot);
     await piece(snapshot, 0);
     register.raise(Epoch.of(4));
-    for (const late of [
-      await piece(snapshot, pieceLength),
+    for (const reply of [
+      await piece(snapshot, pieceBytes),
       await offer(snapshotAt(12)),
       await append(1),
       await offer({ ...snapshot, digest: '', bytes: Buffer.alloc(0) }),
     ]) {
-      assert.deepEqual([late.isTaken, late.floor], [false, Epoch.of(4)]);
-      assert.deepEqual(late.held, Stamp.none);
+      assert.deepEqual([reply.isTaken, reply.floor], [false, Epoch.of(4)]);
+      assert.deepEqual(reply.held, Stamp.none);
     }
-    const here = await offer(snapshot, Epoch.of(4));
-    assert.deepEqual([here.isTaken, here.offset], [true, pieceLength]);
+    const resumed = await offer(snapshot, Epoch.of(4));
+    assert.deepEqual([resumed.isTaken, resumed.offset], [true, pieceBytes]);
   });
 
   it('confirms nothing whose write was under way when a higher epoch was promised', async () => {
@@ -160,7 +167,7 @@
 
   it('takes no snapshot older than what it came to hold meanwhile', async () => {
     const older = snapshotAt(9);
-    await sendAll(older, older.bytes.length - pieceLength);
+    await sendAll(older, older.bytes.length - pieceBytes);
     for (let revision = 1; revision <= 12; revision += 1)
       assert.equal((await append(revision)).isTaken, true);
     const late = await sendAll(older);
@@ -176,16 +183,16 @@
     await piece(newer, 0);
     assert.equal((await piece(older, 0)).offset, 0);
     assert.match((await offer(older)).why, /newer transfer/);
-    assert.equal((await offer(newer)).offset, pieceLength);
+    assert.equal((await offer(newer)).offset, pieceBytes);
   });
 
   it('counts no piece that is damaged, out of order or too long', async () => {
     const snapshot = snapshotAt(9);
     await offer(snapshot);
     assert.equal((await piece(snapshot, 0, epoch, 'forged')).offset, 0);
-    assert.equal((await piece(snapshot, pieceLength)).offset, 0);
+    assert.equal((await piece(snapshot, pieceBytes)).offset, 0);
     const longer = { ...snapshot, bytes: Buffer.concat([snapshot.bytes, snapshot.bytes]) };
-    for (let offset = 0; offset < longer.bytes.length; offset += pieceLength) await piece(longer, offset);
+    for (let offset = 0; offset < longer.bytes.length; offset += pieceBytes) await piece(longer, offset);
     assert.ok((await offer(snapshot)).offset < snapshot.bytes.length);
     assert.deepEqual(store.state(), State.empty);
   });
@@ -203,8 +210,11 @@
     await sendAll(snapshotAt(5));
     assert.match((await sendAll(tailOf(4, 9)))?.why ?? '', /another state/);
     assert.match((await sendAll(tailOf(5, 9, 3)))?.why ?? '', /another state than was offered/);
-    const late = [7, 6, 9].map((revision) => Store.encode(changeTo(revision)));
-    assert.match((await sendAll(Payload.tail(Stamp.of(3, 5), Stamp.of(3, 9), late)))?.why ?? '', /follow/);
+    const unordered = [7, 6, 9].map((revision) => Store.encode(changeTo(revision)));
+    assert.match(
+      (await sendAll(Payload.tail(Stamp.of(3, 5), Stamp.of(3, 9), unordered)))?.why ?? '',
+      /follow/,
+    );
     assert.deepEqual(store.state(), stateAt(5));
   });
 });
--- a/test/catch-up-programs.test.ts
+++ b/test/catch-up-programs.test.ts
@@ -1,5 +1,8 @@
-// Whole control nodes with 2,000 routes: one is gone for hundreds of changes, returns with a slow disk and is
-// killed once more on its way; orders are taken meanwhile, and it holds the newest state within a bound.
+/**
+ * Tests catch-up with complete control nodes and 2,000 routes. One node is down for hundreds of changes, returns with a
+ * slow disk and is killed once more while it catches up. Changes are accepted meanwhile, and the node holds the newest
+ * state within a time limit.
+ */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import type { Document } from '../src/manifest/document.js';
@@ -14,16 +17,16 @@
   readonly tenure: { primary: string; inSync: string[]; cores: { disk: string; node: string }[] } | null;
 };
 
-const routes = 2000;
-const lists = 200;
-const manifests = 12;
-const heldWithin = 20_000;
-const orderWithin = 12_000;
+const routeCount = 2000;
+const serverListCount = 200;
+const manifestCount = 12;
+const catchUpTimeoutMs = 20_000;
+const requestTimeoutMs = 12_000;
 
 const manifestOf = (note: string): Document => {
   const random = Random.of(5);
   const word = () => Array.from({ length: 12 }, () => random.below(36).toString(36)).join('');
-  const rules = Array.from({ length: routes }, (_none, index) => ({
+  const rules = Array.from({ length: routeCount }, (_none, index) => ({
     ...Bench.manifest.rules[0]!,
     name: `route-${index}-${word()}`,
     match: { path: `/${word()}/${word()}`, method: 'POST', models: ['once'] },
@@ -45,24 +48,30 @@
       async (response) => (await response.json()) as Health,
       () => undefined,
     );
-  const until = async <T>(look: () => Promise<T | undefined>, within: number, what: string): Promise<T> => {
-    for (const began = performance.now(); ; ) {
-      const value = await look().catch(() => undefined);
+  const until = async <T>(
+    poll: () => Promise<T | undefined>,
+    timeoutMs: number,
+    description: string,
+  ): Promise<T> => {
+    for (const startedAt = performance.now(); ; ) {
+      const value = await poll().catch(() => undefined);
       if (value !== undefined) return value;
-      assert.ok(performance.now() - began < within, `${what} within ${within} ms`);
+      assert.ok(performance.now() - startedAt < timeoutMs, `${description} within ${timeoutMs} ms`);
     }
   };
-  const up = () => bench.kit.cores.filter((core) => core.process?.isUp());
-  const leading = () =>
+  const runningCores = () => bench.kit.cores.filter((core) => core.process?.isUp());
+  const findLeader = () =>
     until(
       async () => {
-        const told = await Promise.all(up().map(async (core) => ({ core, now: await health(core) })));
-        return told.find(({ now }) => now?.state === 'leading');
+        const answers = await Promise.all(
+          runningCores().map(async (core) => ({ core, status: await health(core) })),
+        );
+        return answers.find(({ status }) => status?.state === 'leading');
       },
-      orderWithin,
+      requestTimeoutMs,
       'one leads',
     );
-  const order = async (
+  const request = async (
     path: string,
     body: () => unknown,
     token = FleetKit.operatorToken,
@@ -76,62 +85,63 @@
           body(),
           {
             authorization: `Bearer ${token}`,
-            ...(path === '/v1/manifest' ? { 'if-match': await tag() } : {}),
+            ...(path === '/v1/manifest' ? { 'if-match': await currentEtag() } : {}),
           },
-          up(),
+          runningCores(),
         );
         return answer.status === 200 ? true : undefined;
       },
-      orderWithin,
+      requestTimeoutMs,
       `an order to ${path} is taken`,
     );
     return performance.now() - began;
   };
-  const tag = async () => (await bench.kit.operate('GET', '/v1/manifest', undefined, {}, up())).etag ?? '';
+  const currentEtag = async () =>
+    (await bench.kit.operate('GET', '/v1/manifest', undefined, {}, runningCores())).etag ?? '';
   const putList = () => {
     const next = ++serial;
-    return order('/v1/servers', () => ({ serial: next, servers: [] }), FleetKit.platformToken);
+    return request('/v1/servers', () => ({ serial: next, servers: [] }), FleetKit.platformToken);
   };
-  const putManifest = (note: string) => order('/v1/manifest', () => manifestOf(note));
-  const spareOf = ({ tenure }: Health): Core => {
+  const putManifest = (note: string) => request('/v1/manifest', () => manifestOf(note));
+  const notInSyncOf = ({ tenure }: Health): Core => {
     const { node } = tenure!.cores.find(({ disk }) => !tenure!.inSync.includes(disk))!;
     return bench.kit.cores.find((core) => core.node === node)!;
   };
   const isNewest = async (core: Core): Promise<true | undefined> => {
-    const [first, here] = [(await leading()).now!, await health(core)];
+    const [first, here] = [(await findLeader()).status!, await health(core)];
     const isSame = here?.held.epoch === first.held.epoch && here.held.revision === first.held.revision;
     return isSame ? true : undefined;
   };
 
   it('holds the newest state within a bound, though its disk is slow and it is killed again on the way', async (test) => {
     await putManifest('first');
-    const spare = spareOf((await leading()).now!);
-    await spare.process!.end('SIGKILL');
-    for (let count = 0; count < manifests; count += 1) await putManifest(`away ${count}`);
-    for (let count = 0; count < lists; count += 1) await putList();
-    bench.faults!.disk(spare.node, 'slow');
-    await bench.kit.startCore(spare);
+    const returning = notInSyncOf((await findLeader()).status!);
+    await returning.process!.end('SIGKILL');
+    for (let count = 0; count < manifestCount; count += 1) await putManifest(`away ${count}`);
+    for (let count = 0; count < serverListCount; count += 1) await putList();
+    bench.faults!.disk(returning.node, 'slow');
+    await bench.kit.startCore(returning);
     await putList();
-    await spare.process!.end('SIGKILL');
+    await returning.process!.end('SIGKILL');
     await putList();
-    await bench.kit.startCore(spare);
+    await bench.kit.startCore(returning);
     const began = performance.now();
     let longest = 0;
     const orders = (async () => {
       for (let count = 0; count < 30; count += 1) longest = Math.max(longest, await putList());
     })();
     await orders;
-    await until(() => isNewest(spare), heldWithin, 'the returned node holds the newest state');
+    await until(() => isNewest(returning), catchUpTimeoutMs, 'the returned node holds the newest state');
     const took = Math.round(performance.now() - began);
     test.diagnostic(`at the newest ${took} ms after its start; longest order ${Math.round(longest)} ms`);
     assert.ok(longest < 3000, `an order took ${Math.round(longest)} ms`);
-    const { core } = await leading();
+    const { core } = await findLeader();
     const status = await bench.kit.operate('GET', '/v1/status', undefined, {}, [core]);
     const cores = status.body.cores as { node: string; behind: number; current: boolean }[];
     assert.equal(cores.length, 2);
-    const there = cores.find(({ node }) => node === spare.node);
-    assert.deepEqual([there?.behind, there?.current], [0, true]);
-    const metrics = await (await fetch(`http://${spare.http}/metrics`)).text();
+    const returned = cores.find(({ node }) => node === returning.node);
+    assert.deepEqual([returned?.behind, returned?.current], [0, true]);
+    const metrics = await (await fetch(`http://${returning.http}/metrics`)).text();
     assert.match(metrics, /bramblebend_transfer_bytes_received [1-9]/);
   });
 });
--- a/test/catch-up.test.ts
+++ b/test/catch-up.test.ts
@@ -1,5 +1,8 @@
-// A member that stands behind is brought to the newest state: over a slow link, with a slow disk, with links lost and
-// processes killed on the way, while changes go on; and it counts only once it holds what is acknowledged.
+/**
+ * Tests that a member which is behind is brought to the newest state while changes continue: over a slow link, with a
+ * slow disk, and with links lost and processes killed in between. It counts as in sync only once it holds everything
+ * that is acknowledged.
+ */
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 import { Stamp } from '../src/kinds/stamp.js';
@@ -8,24 +11,24 @@
 import type { Primary } from '../src/replica/primary.js';
 import { ReplicaKit } from './replica-kit.js';
 
-/** Bytes a second of 7 Mbit/s. */
-const slowLink = 875_000;
-const piece = 64 * 1024;
+/** 7 Mbit/s. */
+const slowLinkBytesPerSecond = 875_000;
+const pieceBytes = 64 * 1024;
 
-const until = async (isSo: () => boolean, within: number, what: string): Promise<number> => {
-  const began = performance.now();
-  while (!isSo()) {
-    assert.ok(performance.now() - began < within, `${what} within ${within} ms`);
+const until = async (condition: () => boolean, timeoutMs: number, description: string): Promise<number> => {
+  const startedAt = performance.now();
+  while (!condition()) {
+    assert.ok(performance.now() - startedAt < timeoutMs, `${description} within ${timeoutMs} ms`);
     await new Promise((resolve) => setImmediate(resolve));
   }
-  return Math.round(performance.now() - began);
+  return Math.round(performance.now() - startedAt);
 };
 const put = (primary: Primary, note: string) =>
   primary.commit((_state, stamp) => ReplicaKit.change(stamp, note));
 const putMany = async (primary: Primary, count: number): Promise<void> => {
   for (let index = 0; index < count; index += 1) await put(primary, `note ${index}`);
 };
-/** Puts while the member lacks the newest, and counts the changes that began and were taken amid one transfer to it. */
+/** Puts changes and counts those that started and were acknowledged during the member's first snapshot transfer. */
 const putDuringTransfer = async (primary: Primary, member: ReplicaKit.Machine, count: number) => {
   let during = 0;
   for (let index = 0; index < count; index += 1) {
@@ -44,7 +47,7 @@
   it('brings a member over 7 Mbit/s to the newest state while changes go on and are acknowledged', async (test) => {
     kit = await ReplicaKit.start(3);
     const third = kit.machines[2]!;
-    third.relay.rate = slowLink;
+    third.relay.bytesPerSecond = slowLinkBytesPerSecond;
     const primary = await kit.lead([0, 1, 2]);
     third.relay.cut();
     await putMany(primary, 20);
@@ -65,7 +68,7 @@
     const primary = await kit.lead([0, 1, 2]);
     third.relay.cut();
     await putMany(primary, 40);
-    third.relay.rate = slowLink;
+    third.relay.bytesPerSecond = slowLinkBytesPerSecond;
     const snapshot = Payload.snapshot(primary.state()).bytes.length;
     third.relay.heal();
     for (const part of [0.25, 0.5, 0.75]) {
@@ -80,7 +83,7 @@
     );
     assert.equal(third.meter.counts().bytesReceived, snapshot);
     const sent = first.meter.counts().bytesSent;
-    assert.ok(sent <= snapshot + 4 * piece, `${sent} bytes were sent for ${snapshot}`);
+    assert.ok(sent <= snapshot + 4 * pieceBytes, `${sent} bytes were sent for ${snapshot}`);
     assert.equal(third.meter.counts().snapshotsTaken, 1);
   });
 
@@ -90,11 +93,15 @@
     const primary = await kit.lead([0, 1, 2]);
     third.relay.cut();
     await putMany(primary, 30);
-    third.relay.rate = slowLink;
+    third.relay.bytesPerSecond = slowLinkBytesPerSecond;
     third.relay.heal();
     for (const count of [1, 2]) {
       const before = third.meter.counts().bytesReceived;
-      await until(() => third.meter.counts().bytesReceived > before + 5 * piece, 10_000, 'pieces arrive');
+      await until(
+        () => third.meter.counts().bytesReceived > before + 5 * pieceBytes,
+        10_000,
+        'pieces arrive',
+      );
       await third.restart();
       await putMany(primary, 10 * count);
     }
@@ -129,24 +136,25 @@
     await putMany(primary, 20);
     const acknowledged = primary.state().stamp;
     second.relay.cut();
-    third.relay.rate = slowLink;
+    third.relay.bytesPerSecond = slowLinkBytesPerSecond;
     third.relay.heal();
-    const taken = put(primary, 'after the loss');
-    let isTaken = false;
-    void taken.then(() => {
-      isTaken = true;
+    const acknowledgedPut = put(primary, 'after the loss');
+    let isAcknowledged = false;
+    void acknowledgedPut.then(() => {
+      isAcknowledged = true;
     });
-    const isNamed = () => primary.term().inSync.includes(third.self().disk);
+    const isInSync = () => primary.term().inSync.includes(third.self().disk);
     await until(
       () => {
-        if (isNamed()) assert.ok(!Stamp.isNewer(acknowledged, third.held()), 'named before it had caught up');
-        return isTaken;
+        if (isInSync())
+          assert.ok(!Stamp.isNewer(acknowledged, third.held()), 'named before it had caught up');
+        return isAcknowledged;
       },
       15_000,
       'the change is taken',
     );
     assert.deepEqual(third.store.state(), primary.state());
-    assert.ok(isNamed());
+    assert.ok(isInSync());
   });
 
   it('counts no member that was brought in and lost its disk before it was named', async () => {
@@ -159,7 +167,7 @@
     ];
     const primary = await kit.lead([0, 1, 2, 3, 4], 2);
     await put(primary, 'before');
-    kit.machines[4]!.relay.rate = slowLink / 20;
+    kit.machines[4]!.relay.bytesPerSecond = slowLinkBytesPerSecond / 20;
     second.relay.cut();
     const chosen = fourth.self().disk;
     let emptied: Promise<void> | undefined;
@@ -180,7 +188,8 @@
     kit = await ReplicaKit.start(3);
     const [, second, third] = kit.machines as [ReplicaKit.Machine, ReplicaKit.Machine, ReplicaKit.Machine];
     const kinds = new Set<string>();
-    for (const { become } of [second, third]) become('earlier', (frame) => void kinds.add(frame.kind));
+    for (const { emulateVersion } of [second, third])
+      emulateVersion('earlier', (frame) => void kinds.add(frame.kind));
     const primary = await kit.lead([0, 1, 2]);
     await putMany(primary, 3);
     second.relay.cut();
--- a/test/replica-kit.ts
+++ b/test/replica-kit.ts
@@ -1,5 +1,7 @@
-// Cores inside one process for tests of replication: real registers, couriers and links over loopback, with
-// each way between two machines throttled, cut and counted at will, and disks that are slow or emptied.
+/**
+ * In-process cores for replication tests: real registers, couriers and links over loopback. The traffic to each machine
+ * can be throttled, cut and counted, and its disk can be slowed down or emptied.
+ */
 import { createHash } from 'node:crypto';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { createServer, connect as dial, type Server, type Socket } from 'node:net';
@@ -25,26 +27,30 @@
 import { Link } from '../src/wire/link.js';
 import { Bench } from './bench.js';
 
+/** A set of cores, the first of which may lead. */
 export type ReplicaKit = {
   readonly machines: readonly ReplicaKit.Machine[];
-  /** The first machine as primary of a term with these machines, the first `losses` + 1 of them in sync. */
+  /** Makes the first machine primary of a term with these machines, of which the first `losses` + 1 are in sync. */
   readonly lead: (of: readonly number[], losses?: number) => Promise<Primary>;
+  /** Deposes all primaries, stops all machines and deletes their data. */
   readonly stop: () => Promise<void>;
 };
 
+/** Types of the test cores. */
 export declare namespace ReplicaKit {
-  /** The ways to one machine: all its bytes pass here. */
+  /** A TCP relay that all links to one machine go through. */
   type Relay = {
     readonly place: string;
-    /** Bytes a second towards the machine; unbounded at first. */
-    rate: number;
-    /** Bytes that went towards the machine. */
+    /** Throughput limit towards the machine; initially unlimited. */
+    bytesPerSecond: number;
+    /** Bytes forwarded towards the machine. */
     readonly passed: () => number;
-    /** Ends all links; none is let through until `heal`. */
+    /** Closes all links and accepts no new ones until `heal`. */
     readonly cut: () => void;
     readonly heal: () => void;
     readonly stop: () => Promise<void>;
   };
+  /** One core and the relay in front of it. */
   type Machine = {
     readonly node: string;
     readonly relay: Relay;
@@ -55,78 +61,78 @@
     readonly meter: TransferMeter;
     readonly self: () => Frame.Core;
     readonly courierTo: (core: Frame.Core) => Courier | undefined;
-    /** Runs before each write of the store. */
+    /** Runs before each write to the store. */
     beforeWrite: () => Promise<void>;
-    /** Runs before the machine asks the others to accept a term, or accepts one itself. */
+    /** Runs before the machine accepts a term or asks another one to accept it. */
     beforeAccept: (term: Term) => Promise<void>;
-    /** Lets the machine answer as an earlier program does, and tells each frame that comes in. */
-    readonly become: (what: 'earlier', see: (frame: Frame) => void) => void;
-    /** Ends the process and starts it again, with its disk or an empty one. */
+    /** Makes the machine reply as an earlier version does, and passes each received frame to `onFrame`. */
+    readonly emulateVersion: (version: 'earlier', onFrame: (frame: Frame) => void) => void;
+    /** Restarts the machine, with its disk or with an empty one. */
     readonly restart: (isEmpty?: boolean) => Promise<void>;
     readonly held: () => Stamp;
   };
 }
 
-const unbounded = Number.POSITIVE_INFINITY;
-const mostAtOnce = 8 * 1024;
+const unlimited = Number.POSITIVE_INFINITY;
+const maxThrottledChunkBytes = 8 * 1024;
 
-const relayTo = async (port: () => number): Promise<ReplicaKit.Relay> => {
+const startRelay = async (port: () => number): Promise<ReplicaKit.Relay> => {
   const sockets = new Set<Socket>();
   let passed = 0;
   let isCut = false;
   const pipe = (from: Socket, to: Socket, rate: () => number, count: (bytes: number) => void) => {
-    const trickle = (chunk: Buffer) => {
-      const bytes = rate() === unbounded ? chunk : chunk.subarray(0, mostAtOnce);
+    const forward = (chunk: Buffer) => {
+      const bytes = rate() === unlimited ? chunk : chunk.subarray(0, maxThrottledChunkBytes);
       const rest = chunk.subarray(bytes.length);
-      const pass = () => {
+      const write = () => {
         to.write(bytes);
-        if (rest.length > 0) trickle(rest);
+        if (rest.length > 0) forward(rest);
         else from.resume();
       };
-      if (rate() === unbounded) pass();
-      else setTimeout(pass, (bytes.length / rate()) * 1000);
+      if (rate() === unlimited) write();
+      else setTimeout(write, (bytes.length / rate()) * 1000);
     };
     from.on('data', (chunk: Buffer) => {
       count(chunk.length);
       from.pause();
-      trickle(chunk);
+      forward(chunk);
     });
     from.on('close', () => to.destroy());
     from.on('error', () => to.destroy());
   };
-  const server = createServer((near) => {
-    if (isCut) return void near.destroy();
-    const far = dial({ host: '127.0.0.1', port: port() });
-    for (const socket of [near, far]) {
+  const server = createServer((inbound) => {
+    if (isCut) return void inbound.destroy();
+    const outbound = dial({ host: '127.0.0.1', port: port() });
+    for (const socket of [inbound, outbound]) {
       sockets.add(socket);
       socket.on('close', () => sockets.delete(socket));
     }
     pipe(
-      near,
-      far,
-      () => relay.rate,
+      inbound,
+      outbound,
+      () => relay.bytesPerSecond,
       (bytes) => {
         passed += bytes;
       },
     );
     pipe(
-      far,
-      near,
-      () => unbounded,
+      outbound,
+      inbound,
+      () => unlimited,
       () => {},
     );
   });
-  const at = await Listen(server, { host: '127.0.0.1', port: 0 });
-  const end = () => {
+  const address = await Listen(server, { host: '127.0.0.1', port: 0 });
+  const closeSockets = () => {
     for (const socket of sockets) socket.destroy();
   };
   const relay: ReplicaKit.Relay = {
-    place: `127.0.0.1:${at.port}`,
-    rate: unbounded,
+    place: `127.0.0.1:${address.port}`,
+    bytesPerSecond: unlimited,
     passed: () => passed,
     cut() {
       isCut = true;
-      end();
+      closeSockets();
     },
     heal() {
       isCut = false;
@@ -134,14 +140,14 @@
     stop: () =>
       new Promise((resolve) => {
         server.close(() => resolve());
-        end();
+        closeSockets();
       }),
   };
   return relay;
 };
 
-/** A store whose disk syncs at once, so that a busy machine's real one is not mistaken for a failed one. */
-const storeOf = (disk: { state: State }, beforeWrite: () => Promise<void>, file: File): Store => {
+/** A store in memory, because a slow real disk on a busy machine would count as a failed one. */
+const createStore = (disk: { state: State }, beforeWrite: () => Promise<void>, file: File): Store => {
   const turns = Turns.of();
   return {
     state: () => disk.state,
@@ -162,22 +168,22 @@
   };
 };
 
-const machineOf = async (
+const startMachine = async (
   folder: string,
   node: string,
   couriers: Map<string, Courier>,
 ): Promise<{ machine: ReplicaKit.Machine; stop: () => Promise<void> }> => {
   let data = join(folder, node);
-  let lives = 0;
+  let restarts = 0;
   let links: Link[] = [];
   let server: Server;
   let port = 0;
   const disk = { state: State.empty };
-  let isEarlier = false;
-  let seeFrame: (frame: Frame) => void = () => {};
+  let isEarlierVersion = false;
+  let onFrame: (frame: Frame) => void = () => {};
   const terms = { stamp: () => Stamp.none, age: () => 0, pingEvery: 250, silence: 1200 };
   const meter = TransferMeter.of();
-  const relay = await relayTo(() => port);
+  const relay = await startRelay(() => port);
   const self = (): Frame.Core => ({
     disk: machine.register.disk,
     node,
@@ -187,7 +193,7 @@
   const open = async () => {
     const file = await File.open(data, 'register.log');
     const register = await Register.open(file);
-    const store = storeOf(disk, () => machine.beforeWrite(), file);
+    const store = createStore(disk, () => machine.beforeWrite(), file);
     const backup = Backup.of({ register, store, isLeading: () => false, meter });
     const proposer = Proposer.of({
       register: {
@@ -228,12 +234,12 @@
       async function* requests() {
         for await (const frame of link.frames()) {
           if (frame.kind === 'hello') continue;
-          seeFrame(frame);
+          onFrame(frame);
           yield frame;
         }
       }
       const send: Link['send'] = (body) => {
-        if (!isEarlier || body.kind !== 'vote') return link.send(body);
+        if (!isEarlierVersion || body.kind !== 'vote') return link.send(body);
         const { protocol: _protocol, ...vote } = body;
         return link.send(vote);
       };
@@ -241,7 +247,7 @@
     });
     port = (await Listen(server, { host: '127.0.0.1', port: 0 })).port;
   };
-  const end = () =>
+  const stopServing = () =>
     new Promise<void>((resolve) => {
       server.close(() => resolve());
       for (const link of links) link.close();
@@ -255,17 +261,17 @@
     courierTo: (core) => couriers.get(core.wire),
     beforeWrite: async () => {},
     beforeAccept: async () => {},
-    become(_earlier, see) {
-      isEarlier = true;
-      seeFrame = see;
+    emulateVersion(_version, callback) {
+      isEarlierVersion = true;
+      onFrame = callback;
     },
     held: () => machine.store.state().stamp,
     async restart(isEmpty = false) {
-      await end();
+      await stopServing();
       await machine.store.close();
-      lives += 1;
+      restarts += 1;
       if (isEmpty) {
-        data = join(folder, `${node}-${lives}`);
+        data = join(folder, `${node}-${restarts}`);
         disk.state = State.empty;
       }
       Object.assign(machine, await open());
@@ -278,17 +284,18 @@
   return {
     machine,
     async stop() {
-      await end();
+      await stopServing();
       await relay.stop();
       await machine.store.close();
     },
   };
 };
 
+/** Starts test cores and makes changes for them. */
 export const ReplicaKit = {
   /**
-   * A change whose words can't be packed: 64 KB each. As many as a core keeps take two seconds over 7 Mbit/s, which is
-   * longer than one frame may take, and little work for the processor that all cores of a test share.
+   * An incompressible change of 64 KB. As many of them as a core keeps take two seconds over 7 Mbit/s, which is longer
+   * than one frame may take, but little work for the processor that all cores of a test share.
    */
   change(stamp: Stamp, note: string): State.Change {
     const hash = createHash('shake256', { outputLength: 48 * 1024 });
@@ -296,15 +303,16 @@
     const document = { ...Bench.manifest, note, words } as unknown as Document;
     return { kind: 'manifest', stamp, document, by: 'operator', at: '', what: 'put', teams: [] };
   },
+  /** Starts this many machines; only the first one has couriers to the others. */
   async start(count: number): Promise<ReplicaKit> {
     const folder = mkdtempSync(join(tmpdir(), 'bramblebend-replica-'));
     const machines: ReplicaKit.Machine[] = [];
     const couriers = new Map<string, Courier>();
     const stops: (() => Promise<void>)[] = [];
     for (let index = 0; index < count; index += 1) {
-      const made = await machineOf(folder, `core-${index + 1}`, couriers);
-      machines.push(made.machine);
-      stops.push(made.stop);
+      const started = await startMachine(folder, `core-${index + 1}`, couriers);
+      machines.push(started.machine);
+      stops.push(started.stop);
     }
     const [first, ...others] = machines as [ReplicaKit.Machine, ...ReplicaKit.Machine[]];
     const hello = { kind: 'hello', self: {} as never, version: '', aim: 'core' } as const;
@@ -340,7 +348,7 @@
           proposer: first.proposer,
           courierTo: first.courierTo,
           publish: () => {},
-          note: process.env.BRAMBLEBEND_TELL ? (...told) => console.error(...told) : () => {},
+          note: process.env.BRAMBLEBEND_TELL ? (...args) => console.error(...args) : () => {},
           meter: first.meter,
         });
         running.push(primary);
--- a/test/replication.test.ts
+++ b/test/replication.test.ts
@@ -110,10 +110,10 @@
 
   it('confirms nothing where the member has promised a higher epoch, and tells the leadership of it', async () => {
     const { leadership, follower } = createFollower({ append: async () => appended(false, 1, 7) });
-    await assert.rejects(follower.replicate(stateAt(2)), /rejected the state/);
+    await assert.rejects(follower.replicate(stateAt(2)), /did not take it/);
     assert.equal(leadership.promised(), Epoch.of(7));
     const above = createFollower({ append: async () => appended(true, 2, 7) });
-    await assert.rejects(above.follower.replicate(stateAt(2)), /rejected the state/);
+    await assert.rejects(above.follower.replicate(stateAt(2)), /did not take it/);
     assert.equal(above.follower.confirmed(Epoch.of(1)), undefined);
   });
 
