--- a/src/agent/program.ts
+++ b/src/agent/program.ts
@@ -1,9 +1,9 @@
 // The agent as a program: its session with the control plane, the relay it is in the news tree, and the
 // feed of its proxy over loopback. What the proxy still holds refills an agent that came back empty.
-import { Address } from '../kinds/address.js';
-import { Ident } from '../kinds/ident.js';
-import { Listen } from '../kinds/listen.js';
-import type { Ring } from '../log/ring.js';
+import { Address } from '../common/address.js';
+import { Id } from '../common/id.js';
+import { Listen } from '../common/listen.js';
+import type { LogBuffer } from '../log/log-buffer.js';
 import { Children } from '../membership/children.js';
 import { Downlink } from '../membership/downlink.js';
 import { Roll } from '../membership/roll.js';
@@ -17,12 +17,12 @@
 import type { Program } from '../startup/program.js';
 import type { Startup as Settings } from '../startup/startup.js';
 import { Version } from '../startup/version.js';
-import { Doorway } from '../wire/doorway.js';
 import { Frame } from '../wire/frame.js';
 import type { Link } from '../wire/link.js';
-import { Pair } from '../wire/pair.js';
+import { LinkPair } from '../wire/link-pair.js';
+import { LinkServer } from '../wire/link-server.js';
 
-export type Agent = { readonly start: (startup: Agent.Startup, ring: Ring) => Promise<Agent.Running> };
+export type Agent = { readonly start: (startup: Agent.Startup, ring: LogBuffer) => Promise<Agent.Running> };
 
 export declare namespace Agent {
   /** Without a feed address the proxy is in this process and comes by `join`. */
@@ -34,7 +34,7 @@
   async start(startup, ring) {
     const feed = Feed.of();
     const voucher = Voucher.of(feed, () => ring.note('vouched for', { stamp: feed.stamp() }));
-    const boot = Ident.boot();
+    const boot = Id.boot();
     let wire = '';
     let depth = 1;
     let opsText = '';
@@ -56,7 +56,7 @@
     const children = Children.of(roll);
     const turns = Turns.of();
     const roster = Roster.of();
-    const serve: Doorway.Needs['serve'] = (link, hello, frames) =>
+    const serve: LinkServer.Needs['serve'] = (link, hello, frames) =>
       Downlink.serve(link, hello, frames, {
         feed,
         roll,
@@ -73,16 +73,16 @@
         onTokens: ({ stamp: _stamp, ...body }) => void uplink.send(body),
       });
     const terms = { stamp: feed.stamp, age: feed.age, isSteady: true, serve, note: ring.note };
-    const doorway = await Doorway.open({ ...terms, address: Address.checked(startup.wire) });
-    wire = Doorway.text(doorway);
-    const serveProxy: Doorway.Needs['serve'] = (link, hello, frames) => {
+    const doorway = await LinkServer.open({ ...terms, address: Address.checked(startup.wire) });
+    wire = LinkServer.text(doorway);
+    const serveProxy: LinkServer.Needs['serve'] = (link, hello, frames) => {
       if (hello.self.vouched) voucher.promise(hello.stamp);
       return serve(link, hello, frames);
     };
     const inner =
       startup.feed === undefined
         ? undefined
-        : await Doorway.open({ ...terms, address: Address.checked(startup.feed), serve: serveProxy });
+        : await LinkServer.open({ ...terms, address: Address.checked(startup.feed), serve: serveProxy });
     const joined = new Set<Link>();
     const uplink: Uplink = Uplink.run({
       feed,
@@ -133,11 +133,11 @@
     }).server();
     opsText = Address.text(await Listen(ops, Address.checked(startup.ops)));
     return {
-      ready: { wire, ...(inner ? { feed: Doorway.text(inner) } : {}), ops: opsText },
+      ready: { wire, ...(inner ? { feed: LinkServer.text(inner) } : {}), ops: opsText },
       join(theirs) {
-        const [own, other] = Pair.of({ stamp: feed.stamp, age: feed.age }, theirs, startup.node);
+        const [own, other] = LinkPair.of({ stamp: feed.stamp, age: feed.age }, theirs, startup.node);
         joined.add(own);
-        void Doorway.attend(own, { ...terms, serve: serveProxy }).finally(() => joined.delete(own));
+        void LinkServer.attend(own, { ...terms, serve: serveProxy }).finally(() => joined.delete(own));
         return other;
       },
       async drain() {
--- a/src/bin/bramblebend.ts
+++ b/src/bin/bramblebend.ts
@@ -5,7 +5,7 @@
 import { Commands } from '../cli/commands.js';
 import { Fleet } from '../cli/fleet.js';
 import { ReadLog } from '../cli/read-log.js';
-import { Failure } from '../kinds/failure.js';
+import { Failure } from '../common/failure.js';
 import { Version } from '../startup/version.js';
 
 type Flags = {
--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -1,6 +1,6 @@
 // The CLI's way to the control plane: the addresses are tried in turn, for any core takes a call.
 import { request } from 'undici';
-import { Failure } from '../kinds/failure.js';
+import { Failure } from '../common/failure.js';
 
 export type Client = {
   readonly call: (
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -1,7 +1,7 @@
 // What the operators' command line does. Each command returns what it prints and its exit code: 0 done,
 // 1 refused or not found, 3 not confirmed (the change may have been taken).
 import { readFileSync } from 'node:fs';
-import { Failure } from '../kinds/failure.js';
+import { Failure } from '../common/failure.js';
 import { Check } from '../manifest/check.js';
 import type { Client } from './client.js';
 import { Diff } from './diff.js';
--- a/src/cli/import.ts
+++ b/src/cli/import.ts
@@ -2,8 +2,8 @@
 // manifest draft. Whatever is not carried over is reported with its place, and so is what the draft still
 // lacks, for that configuration knows neither regions nor homes nor which requests may run twice.
 import { parse } from 'yaml';
-import { Failure } from '../kinds/failure.js';
-import type { Guard } from '../kinds/guard.js';
+import { Failure } from '../common/failure.js';
+import type { Guard } from '../common/guard.js';
 import { Check } from '../manifest/check.js';
 import { Document } from '../manifest/document.js';
 
--- a/src/kinds/ident.ts
+++ b/src/common/id.ts
@@ -2,7 +2,7 @@
 // one run of a server as the platform lists it, a request one call of one caller.
 import { randomUUID } from 'node:crypto';
 
-export declare namespace Ident {
+export declare namespace Id {
   type Node = string & { readonly kind: 'node' };
   type Boot = string & { readonly kind: 'boot' };
   type Instance = string & { readonly kind: 'instance' };
@@ -14,9 +14,9 @@
   type Request = string & { readonly kind: 'request' };
 }
 
-export const Ident = {
-  boot: (): Ident.Boot => randomUUID() as Ident.Boot,
-  request: (): Ident.Request => randomUUID() as Ident.Request,
-  node: (text: string): Ident.Node => text as Ident.Node,
-  zone: (text: string): Ident.Zone => text as Ident.Zone,
+export const Id = {
+  boot: (): Id.Boot => randomUUID() as Id.Boot,
+  request: (): Id.Request => randomUUID() as Id.Request,
+  node: (text: string): Id.Node => text as Id.Node,
+  zone: (text: string): Id.Zone => text as Id.Zone,
 };
--- a/src/kinds/turns.ts
+++ b/src/common/mutex.ts
@@ -1,8 +1,8 @@
 // Turns let one piece of work run at a time, in the order asked for.
-export type Turns = { readonly take: <T>(work: () => Promise<T>) => Promise<T> };
+export type Mutex = { readonly take: <T>(work: () => Promise<T>) => Promise<T> };
 
-export const Turns = {
-  of(): Turns {
+export const Mutex = {
+  of(): Mutex {
     let last: Promise<unknown> = Promise.resolve();
     return {
       take<T>(work: () => Promise<T>): Promise<T> {
--- a/src/kinds/phase.ts
+++ b/src/common/state-machine.ts
@@ -1,17 +1,17 @@
 // An explicit state with one function for every change of it. The table names the allowed changes; a
 // change that is not in it is a defect and throws, so that no state is ever slid into by accident.
-export type Phase<S extends string> = {
+export type StateMachine<S extends string> = {
   readonly state: S;
   readonly become: (next: S) => void;
   readonly is: (...states: S[]) => boolean;
 };
 
-export const Phase = {
+export const StateMachine = {
   of<S extends string>(
     first: S,
     changes: Readonly<Record<S, readonly S[]>>,
     note: (from: S, to: S) => void = () => {},
-  ): Phase<S> {
+  ): StateMachine<S> {
     let state = first;
     return {
       get state() {
--- a/src/kinds/ticker.ts
+++ b/src/common/ticker.ts
@@ -3,7 +3,7 @@
  * loop, and work of one span comes into one phase, whenever each part of it began. So a process at rest wakes a few
  * times a second, however many things it tends.
  */
-import { Moment } from './moment.js';
+import { Instant } from './instant.js';
 
 /** One piece of periodic work. */
 export type Ticker = {
@@ -56,12 +56,12 @@
   if (armed && armed.due <= due) return;
   disarm();
   if (tasks.size === 0) return;
-  armed = { timer: setTimeout(fire, Math.max(0, due - Moment.now())), due };
+  armed = { timer: setTimeout(fire, Math.max(0, due - Instant.now())), due };
 };
 
 const fire = (): void => {
   armed = undefined;
-  const now = Moment.now();
+  const now = Instant.now();
   const ringing = [...tasks].filter((task) => task.due <= now + early);
   for (const task of ringing) task.due = nextOf(task, now);
   arm();
@@ -73,7 +73,7 @@
   arm();
   const again = () => {
     if (!tasks.has(task)) return;
-    task.due = endAfter(Moment.now(), task.span);
+    task.due = endAfter(Instant.now(), task.span);
     arm();
   };
   return {
@@ -97,14 +97,14 @@
   },
   /** Begins work that is done once in each span; its first spans may be as short as two fifths. */
   start: (span: number, ring: () => void): Ticker =>
-    begin({ span, due: nextInPhase(Moment.now(), span), isPeriodic: true, ring }),
+    begin({ span, due: nextInPhase(Instant.now(), span), isPeriodic: true, ring }),
   /** Begins a wait of one span. */
   once(span: number, ring: () => void): Ticker {
     const finish = () => {
       ticker.stop();
       ring();
     };
-    const due = endAfter(Moment.now(), span);
+    const due = endAfter(Instant.now(), span);
     const ticker = begin({ span, due, isPeriodic: false, ring: finish });
     return ticker;
   },
--- a/src/control/at-primary.ts
+++ b/src/control/at-primary.ts
@@ -4,9 +4,9 @@
  * it goes down is answered then. What can't be confirmed is a 503 that says whether it was taken.
  */
 import type { Context } from 'hono';
+import { Failure } from '../common/failure.js';
+import { Timer } from '../common/timer.js';
 import { Term } from '../epoch/term.js';
-import { Failure } from '../kinds/failure.js';
-import { Timer } from '../kinds/timer.js';
 import type { Frame } from '../wire/frame.js';
 import { HttpClient } from '../wire/http-client.js';
 import type { Core } from './core.js';
--- a/src/control/commands/evacuate.ts
+++ b/src/control/commands/evacuate.ts
@@ -1,6 +1,6 @@
 // Evacuate a zone or take it back: a change of the newest manifest's evacuations alone, as safe as a manifest
 // and kept by those that follow.
-import type { Ident } from '../../kinds/ident.js';
+import type { Id } from '../../common/id.js';
 import { State } from '../../store/state.js';
 import type { Office } from '../office.js';
 import { Responses } from '../responses.js';
@@ -33,7 +33,7 @@
             `the manifest names no zone ${zone}; it names ${Object.keys(document.zones).join(', ')}`,
           );
         const others = (document.evacuations ?? []).filter((one) => one !== zone);
-        const zones = isEvacuated ? [...others, zone as Ident.Zone] : others;
+        const zones = isEvacuated ? [...others, zone as Id.Zone] : others;
         if (zones.length === (document.evacuations?.length ?? 0)) return done(zones);
         const what = `${isEvacuated ? 'evacuate' : 'restore'} ${zone}`;
         return { kind: 'evacuations', stamp, zones, by, at, what };
--- a/src/control/commands/leave.ts
+++ b/src/control/commands/leave.ts
@@ -1,5 +1,5 @@
 // A notice that an instance is leaving. It holds until the platform's list no longer names the instance.
-import type { Guard } from '../../kinds/guard.js';
+import type { Guard } from '../../common/guard.js';
 import { Document } from '../../manifest/document.js';
 import type { Office } from '../office.js';
 import { Responses } from '../responses.js';
--- a/src/control/commands/put-manifest.ts
+++ b/src/control/commands/put-manifest.ts
@@ -3,7 +3,7 @@
 // the revision that it replaces and its content. One with a key that may have been taken without a record of it is
 // left without a clear answer.
 import { createHash, randomBytes } from 'node:crypto';
-import type { Revision } from '../../kinds/revision.js';
+import type { Revision } from '../../common/revision.js';
 import { Check } from '../../manifest/check.js';
 import { WallChange } from '../../manifest/wall-change.js';
 import { Orders } from '../../store/orders.js';
--- a/src/control/commands/rollback.ts
+++ b/src/control/commands/rollback.ts
@@ -1,7 +1,7 @@
 // Take back a kept manifest as a new revision. Walls are never taken back: those in force stay. A rollback that is
 // sent again is known by what was asked, also when the manifest it went back to is no longer kept.
-import { Guard } from '../../kinds/guard.js';
-import { Revision } from '../../kinds/revision.js';
+import { Guard } from '../../common/guard.js';
+import { Revision } from '../../common/revision.js';
 import { State } from '../../store/state.js';
 import type { Office } from '../office.js';
 import { Responses } from '../responses.js';
--- a/src/control/core.ts
+++ b/src/control/core.ts
@@ -2,12 +2,13 @@
 // at the register, the links and the votes, and takes the next step; each change of state goes through
 // the phase. A second task asks the others for their votes all the while, so that a silent one holds up no
 // step. What each state does stands in `life/`; here they are joined.
+
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
+import { StateMachine } from '../common/state-machine.js';
+import { Timer } from '../common/timer.js';
 import { Ballot } from '../epoch/ballot.js';
 import { Term } from '../epoch/term.js';
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
-import { Phase } from '../kinds/phase.js';
-import { Timer } from '../kinds/timer.js';
 import type { Primary } from '../replica/primary.js';
 import { State } from '../store/state.js';
 import type { Frame } from '../wire/frame.js';
@@ -67,8 +68,8 @@
   return { run, wake };
 };
 
-const phaseOf = (note: Life.Needs['note']): Phase<Life.State> =>
-  Phase.of<Life.State>(
+const phaseOf = (note: Life.Needs['note']): StateMachine<Life.State> =>
+  StateMachine.of<Life.State>(
     'blank',
     {
       blank: ['following', 'stopped'],
@@ -81,7 +82,7 @@
 
 const confirmedFor = ({ primary }: Life): number | undefined => {
   const isSettled = primary && State.isSettled(primary.state(), primary.term().formed);
-  return primary && isSettled && primary.isLeading() ? Moment.since(primary.confirmedAt()) : undefined;
+  return primary && isSettled && primary.isLeading() ? Instant.since(primary.confirmedAt()) : undefined;
 };
 
 const lifeOf = (needs: Core.Needs, wake: () => void, onOther: (term: Term) => void): Life => {
--- a/src/control/desk.ts
+++ b/src/control/desk.ts
@@ -3,9 +3,9 @@
 // its own, so that a slow disk holds up no vote it need not.
 import { createHash } from 'node:crypto';
 import { match } from 'ts-pattern';
+import { Failure } from '../common/failure.js';
 import type { Proposer } from '../epoch/proposer.js';
 import type { Register } from '../epoch/register.js';
-import { Failure } from '../kinds/failure.js';
 import type { Backup } from '../replica/backup.js';
 import type { Frame } from '../wire/frame.js';
 import type { Link } from '../wire/link.js';
--- a/src/control/ending.ts
+++ b/src/control/ending.ts
@@ -1,7 +1,7 @@
 // The end of a program in bounded steps: each has its time, and one that is not done by then (a disk that hangs, a
 // peer that is silent) is named in the log and left behind, for the process is about to be gone anyway.
-import { Failure } from '../kinds/failure.js';
-import { Timer } from '../kinds/timer.js';
+import { Failure } from '../common/failure.js';
+import { Timer } from '../common/timer.js';
 
 /** One step of the end. */
 export type Ending = {
--- a/src/control/folder.ts
+++ b/src/control/folder.ts
@@ -5,8 +5,8 @@
 import { existsSync } from 'node:fs';
 import { mkdir, open as openFile, rename, rm } from 'node:fs/promises';
 import { join } from 'node:path';
+import { Failure } from '../common/failure.js';
 import { Register } from '../epoch/register.js';
-import { Failure } from '../kinds/failure.js';
 import { File } from '../store/file.js';
 import type { Seal } from '../store/seal.js';
 import { Store } from '../store/store.js';
--- a/src/control/forming.ts
+++ b/src/control/forming.ts
@@ -3,10 +3,10 @@
 // disk answers from is lost. Where all are blank they may form, surely at the very first start or when every
 // seed answers; else only after a while, for a silent seed may remember.
 
+import { Epoch } from '../common/epoch.js';
+import { Stamp } from '../common/stamp.js';
 import { Term } from '../epoch/term.js';
 import { Vote } from '../epoch/vote.js';
-import { Epoch } from '../kinds/epoch.js';
-import { Stamp } from '../kinds/stamp.js';
 import type { Frame } from '../wire/frame.js';
 
 export type Forming = {
--- a/src/control/http.ts
+++ b/src/control/http.ts
@@ -6,7 +6,7 @@
 import { createAdaptorServer } from '@hono/node-server';
 import { type Context, Hono } from 'hono';
 import { bodyLimit } from 'hono/body-limit';
-import { Revision } from '../kinds/revision.js';
+import { Revision } from '../common/revision.js';
 import { Check } from '../manifest/check.js';
 import type { Roll } from '../membership/roll.js';
 import type { Startup } from '../startup/startup.js';
--- a/src/control/life/following.ts
+++ b/src/control/life/following.ts
@@ -1,9 +1,10 @@
 // A core that follows: it mends its file after a failed write, and takes over when the primary is lost or
 // asks for it, in the order in which the term lists the cores in sync.
+
+import { Epoch } from '../../common/epoch.js';
+import { Failure } from '../../common/failure.js';
+import { Instant } from '../../common/instant.js';
 import { Term } from '../../epoch/term.js';
-import { Epoch } from '../../kinds/epoch.js';
-import { Failure } from '../../kinds/failure.js';
-import { Moment } from '../../kinds/moment.js';
 import type { Leading } from './leading.js';
 import type { Life } from './life.js';
 
@@ -53,16 +54,16 @@
 export const Following = {
   of(life: Life, leading: Leading): Following {
     const { register, store, note } = life.needs;
-    let missedSince: Moment | undefined;
-    let mendedAt = Moment.past;
+    let missedSince: Instant | undefined;
+    let mendedAt = Instant.past;
     const mend = () => {
-      if (store.isSound() || Moment.since(mendedAt) <= mendEvery) return;
-      mendedAt = Moment.now();
+      if (store.isSound() || Instant.since(mendedAt) <= mendEvery) return;
+      mendedAt = Instant.now();
       void store.mend().catch((error) => note('own disk failure', { why: Failure.text(error) }));
     };
     const isNext = (term: Term): boolean => {
-      missedSince = isPrimaryLost(life, term) ? (missedSince ?? Moment.now()) : undefined;
-      return missedSince !== undefined && Moment.since(missedSince) >= rankIn(life, term) * nextAfter;
+      missedSince = isPrimaryLost(life, term) ? (missedSince ?? Instant.now()) : undefined;
+      return missedSince !== undefined && Instant.since(missedSince) >= rankIn(life, term) * nextAfter;
     };
     return {
       reset() {
--- a/src/control/life/joining.ts
+++ b/src/control/life/joining.ts
@@ -1,7 +1,8 @@
 // A blank core asks the primary for a place; one whose place was given to another disk is told, marks its
 // data folder as retired, and takes no part until it is started again.
+
+import { Instant } from '../../common/instant.js';
 import { Term } from '../../epoch/term.js';
-import { Moment } from '../../kinds/moment.js';
 import type { Life } from './life.js';
 
 export type Joining = {
@@ -21,11 +22,11 @@
     const { register, proposer, courierTo, self, note, alert, ...needs } = life.needs;
     let isTold = false;
     let declined = { epoch: -1, count: 0 };
-    let mayAskAt: Moment = Moment.past;
+    let mayAskAt: Instant = Instant.past;
     /** The next request waits longer each time, and no longer than the first pause after the term has changed. */
     const putOff = (epoch: number) => {
       declined = { epoch, count: declined.epoch === epoch ? declined.count + 1 : 0 };
-      mayAskAt = Moment.after(Math.min(longestPause, firstPause * 2 ** declined.count));
+      mayAskAt = Instant.after(Math.min(longestPause, firstPause * 2 ** declined.count));
     };
     const isRetired = () => {
       const term = life.known.term();
@@ -37,7 +38,7 @@
         const term = life.known.term();
         const core = term && Term.core(term, term.primary);
         if (!term || !core || Term.has(term, register.disk) || life.isLeaving) return;
-        if (declined.epoch === term.epoch && !Moment.isPast(mayAskAt)) return;
+        if (declined.epoch === term.epoch && !Instant.isPast(mayAskAt)) return;
         const reply = await courierTo(core)?.ask({ kind: 'join', core: self() }, answerWithin);
         if (reply?.kind !== 'done') return;
         putOff(term.epoch);
--- a/src/control/life/leading.ts
+++ b/src/control/life/leading.ts
@@ -1,11 +1,12 @@
 // A core that leads: it opens its term with a first change, keeps the cores in sync, and after a forming
 // takes the newest state that nodes hold, once they have had the time to offer it.
+
+import { Instant } from '../../common/instant.js';
+import { Revision } from '../../common/revision.js';
+import { Stamp } from '../../common/stamp.js';
+import { Timer } from '../../common/timer.js';
 import type { Ballot } from '../../epoch/ballot.js';
 import { Term } from '../../epoch/term.js';
-import { Moment } from '../../kinds/moment.js';
-import { Revision } from '../../kinds/revision.js';
-import { Stamp } from '../../kinds/stamp.js';
-import { Timer } from '../../kinds/timer.js';
 import { Primary } from '../../replica/primary.js';
 import { State } from '../../store/state.js';
 import type { Forming } from '../forming.js';
@@ -27,13 +28,13 @@
   needs.isInitial && leader.state().formed === 0;
 
 /** Whether the nodes had the time to offer the newest state that they hold. */
-const isGathered = ({ needs }: Life, leader: Primary, ledSince: Moment): boolean => {
+const isGathered = ({ needs }: Life, leader: Primary, ledSince: Instant): boolean => {
   if (isFirstStart(needs, leader)) return true;
-  const ledFor = Moment.since(ledSince);
+  const ledFor = Instant.since(ledSince);
   return ledFor > gatherFor.most || (ledFor > gatherFor.least && needs.quietFor() > gatherFor.quiet);
 };
 
-const settle = async (life: Life, leader: Primary, ledSince: Moment): Promise<void> => {
+const settle = async (life: Life, leader: Primary, ledSince: Instant): Promise<void> => {
   const { needs } = life;
   const offered = needs.offered();
   const { formed } = leader.term();
@@ -74,13 +75,13 @@
 export const Leading = {
   of(life: Life, forming: Forming): Leading {
     const { needs, phase } = life;
-    let ledSince = Moment.now();
+    let ledSince = Instant.now();
     let upkeep: Promise<void> | undefined;
     return {
       async begin(term, ballot) {
         if (life.isLeaving) return;
         phase.become('leading');
-        ledSince = Moment.now();
+        ledSince = Instant.now();
         needs.note('leading', { term: Term.text(term) });
         const mine = primaryOf(life, term, ballot);
         life.primary = mine;
--- a/src/control/life/leaving.ts
+++ b/src/control/life/leaving.ts
@@ -3,12 +3,13 @@
 // than before when the process is gone. All of it is bounded, and where too few others are able nothing is tried: the
 // process ends, and what it holds comes back with its disk. Others that are silent are waited for a while, since one
 // that was just started again is linked only after that.
+
+import { Failure } from '../../common/failure.js';
+import { Instant } from '../../common/instant.js';
+import { Timer } from '../../common/timer.js';
 import { Ballot } from '../../epoch/ballot.js';
 import { Term } from '../../epoch/term.js';
 import type { Vote } from '../../epoch/vote.js';
-import { Failure } from '../../kinds/failure.js';
-import { Moment } from '../../kinds/moment.js';
-import { Timer } from '../../kinds/timer.js';
 import type { Frame } from '../../wire/frame.js';
 import type { Joining } from './joining.js';
 import type { Life } from './life.js';
@@ -59,7 +60,7 @@
     const { register, proposer, note } = life.needs;
     let successor: Frame.Core | undefined;
     /** One attempt; resolves with the reason why this core is not released yet, or with nothing. */
-    const attempt = async (until: Moment, othersUntil: Moment): Promise<string> => {
+    const attempt = async (until: Instant, othersUntil: Instant): Promise<string> => {
       const late = Timer.pause(votesWithin).then(() => undefined);
       const votes = await Promise.race([proposer.votes(), late]);
       if (!votes) return 'the others are slow';
@@ -67,7 +68,7 @@
       const term = life.known.term();
       if (!term || register.isBlank() || !Term.has(term, register.disk)) return '';
       const others = othersOf(life, votes, term);
-      if (others === 'awaited' && !Moment.isPast(othersUntil)) return 'others are silent';
+      if (others === 'awaited' && !Instant.isPast(othersUntil)) return 'others are silent';
       if (others !== 'able') {
         note('ends without a release', { why: 'too few other cores are able' });
         return '';
@@ -76,12 +77,12 @@
         successor = life.primary.newcomer() ?? successor;
         return (await life.primary.yield()) || 'leadership is handed over';
       }
-      return askForRelease(life, term, successor, Moment.left(until));
+      return askForRelease(life, term, successor, Instant.left(until));
     };
     const release = async () => {
-      const until = Moment.after(leaveWithin);
-      const othersUntil = Moment.after(othersWithin);
-      while (!Moment.isPast(until)) {
+      const until = Instant.after(leaveWithin);
+      const othersUntil = Instant.after(othersWithin);
+      while (!Instant.isPast(until)) {
         const why = await attempt(until, othersUntil).catch(Failure.text);
         if (why === '') break;
         note('not released yet', { why });
--- a/src/control/life/life.ts
+++ b/src/control/life/life.ts
@@ -1,19 +1,20 @@
 // What the parts of a core's life share: its place among the others, and what it knows of them.
+
+import type { StateMachine } from '../../common/state-machine.js';
 import type { Proposer } from '../../epoch/proposer.js';
 import type { Register } from '../../epoch/register.js';
 import type { Vote } from '../../epoch/vote.js';
-import type { Phase } from '../../kinds/phase.js';
 import type { View } from '../../manifest/view.js';
 import type { Primary } from '../../replica/primary.js';
 import type { TransferMeter } from '../../replica/transfer-meter.js';
 import type { Store } from '../../store/store.js';
-import type { Courier } from '../../wire/courier.js';
 import type { Frame } from '../../wire/frame.js';
+import type { PeerClient } from '../../wire/peer-client.js';
 import type { KnownTerm } from './known-term.js';
 
 export type Life = {
   readonly needs: Life.Needs;
-  readonly phase: Phase<Life.State>;
+  readonly phase: StateMachine<Life.State>;
   readonly known: KnownTerm;
   /** The votes that came last. */
   votes: readonly Vote[];
@@ -39,7 +40,7 @@
     readonly seeds: readonly string[];
     readonly proposer: Proposer;
     readonly self: () => Frame.Core;
-    readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
     readonly tend: (places: readonly string[]) => void;
     readonly places: () => readonly string[];
     readonly offered: () => View;
--- a/src/control/life/regrouping.ts
+++ b/src/control/life/regrouping.ts
@@ -1,8 +1,9 @@
 // Forming anew, where too few of the cores can still remember: by themselves, once that is sure and the one
 // whose turn it is had the time, or by an operator's order, who then gives up what only the missing held.
+
+import { Instant } from '../../common/instant.js';
 import { Term } from '../../epoch/term.js';
 import { Vote } from '../../epoch/vote.js';
-import { Moment } from '../../kinds/moment.js';
 import type { Forming } from '../forming.js';
 import type { Life } from './life.js';
 
@@ -21,12 +22,12 @@
 export const Regrouping = {
   of(life: Life, forming: Forming): Regrouping {
     const { register, proposer, losses, alert } = life.needs;
-    let formableSince: Moment | undefined;
+    let formableSince: Instant | undefined;
     const form = async () => {
-      formableSince ??= Moment.now();
+      formableSince ??= Instant.now();
       const isMine = forming.first(life.votes) === register.disk;
       const wait = (forming.isSure(life.votes) ? 0 : silentSeedsFor) + (isMine ? 0 : formAnywayAfter);
-      if (Moment.since(formableSince) < wait) return;
+      if (Instant.since(formableSince) < wait) return;
       const formed = await proposer.form(
         (grants) => (forming.may(grants) ? forming.term(grants) : undefined),
         forming.size,
--- a/src/control/office.ts
+++ b/src/control/office.ts
@@ -3,11 +3,12 @@
 // have been taken. A primary that has been out of touch with a majority for a while answers so at once, and an
 // answer is confirmed by the very primary whose state it was made from: a core that lost its place and has it
 // again meanwhile says nothing of what it knew before.
+
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
+import type { Stamp } from '../common/stamp.js';
+import { Timer } from '../common/timer.js';
 import type { Proposer } from '../epoch/proposer.js';
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
-import type { Stamp } from '../kinds/stamp.js';
-import { Timer } from '../kinds/timer.js';
 import type { Primary } from '../replica/primary.js';
 import { State } from '../store/state.js';
 import type { Responses } from './responses.js';
@@ -41,10 +42,10 @@
 
 /** Tells whether a primary is in touch with a majority, counted from when it was first seen here. */
 const touchOf = () => {
-  let seen: { readonly primary: Primary; readonly since: Moment } | undefined;
+  let seen: { readonly primary: Primary; readonly since: Instant } | undefined;
   return (primary: Primary): boolean => {
-    if (seen?.primary !== primary) seen = { primary, since: Moment.now() };
-    return Moment.since(Math.max(primary.confirmedAt(), seen.since) as Moment) < outOfTouchAfter;
+    if (seen?.primary !== primary) seen = { primary, since: Instant.now() };
+    return Instant.since(Math.max(primary.confirmedAt(), seen.since) as Instant) < outOfTouchAfter;
   };
 };
 
@@ -135,7 +136,7 @@
       }
     };
     const confirmBy = async (primary: Primary): Promise<State> => {
-      const began = Moment.now();
+      const began = Instant.now();
       for (;;) {
         mustBeInTouch(primary);
         const state = primary.state();
@@ -148,7 +149,7 @@
         const term = await proposer.read();
         if (term && term.primary !== primary.term().primary)
           primary.depose('a majority names another primary');
-        if (Moment.since(began) > lookAgainFor) throw unconfirmed('no majority confirms the epoch', 'no');
+        if (Instant.since(began) > lookAgainFor) throw unconfirmed('no majority confirms the epoch', 'no');
         await Timer.pause(lookAgainEvery);
       }
     };
--- a/src/control/peers.ts
+++ b/src/control/peers.ts
@@ -1,18 +1,18 @@
 // The other cores this one keeps in touch with: for each address a courier for requests and an uplink
 // for news and the roll. Addresses come from the seeds, from the newest term, and from the peers themselves:
 // a seed may know a core that is no seed.
-import { Address } from '../kinds/address.js';
+import { Address } from '../common/address.js';
 import type { Roll } from '../membership/roll.js';
 import { Uplink } from '../membership/uplink.js';
 import type { Feed } from '../news/feed.js';
 import { Version } from '../startup/version.js';
-import { Courier } from '../wire/courier.js';
 import type { Frame } from '../wire/frame.js';
+import { PeerClient } from '../wire/peer-client.js';
 
 export type Peers = {
   readonly tend: (places: readonly string[]) => void;
-  readonly couriers: () => readonly Courier[];
-  readonly at: (place: string) => Courier | undefined;
+  readonly couriers: () => readonly PeerClient[];
+  readonly at: (place: string) => PeerClient | undefined;
   readonly sendUp: (node: string, body: Frame.Body) => boolean;
   readonly stop: () => Promise<void>;
 };
@@ -33,10 +33,10 @@
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   }): Peers {
     const { feed, roll } = needs;
-    const held = new Map<string, { courier: Courier; uplink: Uplink }>();
+    const held = new Map<string, { courier: PeerClient; uplink: Uplink }>();
     const heard = new Map<string, readonly string[]>();
     const hello = () => ({ kind: 'hello', self: roll.self(), version: Version, aim: 'core' }) as const;
-    const end = async ({ courier, uplink }: { courier: Courier; uplink: Uplink }) => {
+    const end = async ({ courier, uplink }: { courier: PeerClient; uplink: Uplink }) => {
       uplink.stop();
       await Promise.all([courier.stop(), uplink.done]);
     };
@@ -57,7 +57,7 @@
         for (const place of wanted)
           if (!held.has(place))
             held.set(place, {
-              courier: Courier.run({ place, stamp: feed.stamp, age: needs.age, hello, onUp: needs.onUp }),
+              courier: PeerClient.run({ place, stamp: feed.stamp, age: needs.age, hello, onUp: needs.onUp }),
               uplink: Uplink.run({
                 feed,
                 roll,
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -1,6 +1,12 @@
 // A control node as a program: its disk, its part of the register, replication, sessions with agents,
 // and the HTTP interface.
 import type { Server } from 'node:http';
+import { Address } from '../common/address.js';
+import { Epoch } from '../common/epoch.js';
+import { Id } from '../common/id.js';
+import { Instant } from '../common/instant.js';
+import { Listen } from '../common/listen.js';
+import { Timer } from '../common/timer.js';
 import { BudgetDuty } from '../duty/budget-duty.js';
 import { FailureSums } from '../duty/failure-sums.js';
 import { ListDuty } from '../duty/list-duty.js';
@@ -8,13 +14,7 @@
 import { QuotaDuty } from '../duty/quota-duty.js';
 import { ReportDuty } from '../duty/report-duty.js';
 import { Proposer } from '../epoch/proposer.js';
-import { Address } from '../kinds/address.js';
-import { Epoch } from '../kinds/epoch.js';
-import { Ident } from '../kinds/ident.js';
-import { Listen } from '../kinds/listen.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
-import type { Ring } from '../log/ring.js';
+import type { LogBuffer } from '../log/log-buffer.js';
 import { Children } from '../membership/children.js';
 import { Downlink } from '../membership/downlink.js';
 import { Places } from '../membership/places.js';
@@ -31,8 +31,8 @@
 import type { Startup } from '../startup/startup.js';
 import { Version } from '../startup/version.js';
 import { Seal } from '../store/seal.js';
-import { Doorway } from '../wire/doorway.js';
 import { Frame } from '../wire/frame.js';
+import { LinkServer } from '../wire/link-server.js';
 import type { Adapter } from './adapter.js';
 import { RenewList } from './commands/renew-list.js';
 import { Core } from './core.js';
@@ -55,7 +55,7 @@
 const stopWithin = 750;
 
 export type Control = {
-  readonly start: (startup: Startup['control'], ring: Ring, adapter?: Adapter) => Promise<Program>;
+  readonly start: (startup: Startup['control'], ring: LogBuffer, adapter?: Adapter) => Promise<Program>;
 };
 
 const closeServer = (server: Server): Promise<void> =>
@@ -66,11 +66,11 @@
 
 export const Control: Control = {
   async start(startup, ring, adapter = {}) {
-    const began = Moment.now();
+    const began = Instant.now();
     const seal = startup.key_file === undefined ? undefined : await Seal.read(startup.key_file);
     const { register, store } = await Folder.open(startup.data, ring.alert, seal);
     const feed = Feed.of();
-    const boot = Ident.boot();
+    const boot = Id.boot();
     let wire = startup.wire;
     let http = startup.http;
     let core: Core | undefined;
@@ -178,7 +178,7 @@
         .slice(0, nearbyAgents)
         .map((one) => one.wire);
     };
-    const doorway = await Doorway.open({
+    const doorway = await LinkServer.open({
       address: Address.checked(startup.wire),
       stamp: feed.stamp,
       age,
@@ -204,7 +204,7 @@
               onFailures: failures.add,
             }),
     });
-    wire = Doorway.text(doorway);
+    wire = LinkServer.text(doorway);
     core = Core.of({
       register,
       store,
@@ -271,7 +271,7 @@
     const office = Office.of({ leading: running.leading, proposer });
     const directory: ReadDirectory.Needs = {
       roll,
-      knows: () => Moment.since(began) > knowsAfter,
+      knows: () => Instant.since(began) > knowsAfter,
       regionOf: (zone) => feed.view().manifest?.document.zones[zone]?.region,
     };
     const controlHttp = ControlHttp.of({
@@ -306,7 +306,7 @@
       adapter.list &&
       LookoutDuty.run({
         source: adapter.list,
-        hasPrimary: () => Moment.since(began) < unheardAfter || age() < unheardAfter,
+        hasPrimary: () => Instant.since(began) < unheardAfter || age() < unheardAfter,
         turn() {
           const cores = running.term()?.cores ?? [];
           const index = cores.findIndex((one) => one.disk === register.disk);
--- a/src/control/queries/read-manifest.ts
+++ b/src/control/queries/read-manifest.ts
@@ -1,7 +1,7 @@
 // The manifest in force, or a kept one by its revision. Both are answered only after a majority has
 // confirmed the epoch, so the newest acknowledged one is what is read. The secret of the walls is left out for
 // all who have no right to it.
-import { Revision } from '../../kinds/revision.js';
+import { Revision } from '../../common/revision.js';
 import type { Document } from '../../manifest/document.js';
 import { State } from '../../store/state.js';
 import type { Office } from '../office.js';
--- a/src/control/queries/read-status.ts
+++ b/src/control/queries/read-status.ts
@@ -1,6 +1,7 @@
 // Which nodes are members, and which revision is in force at each.
+
+import { Stamp } from '../../common/stamp.js';
 import { Term } from '../../epoch/term.js';
-import { Stamp } from '../../kinds/stamp.js';
 import type { Document } from '../../manifest/document.js';
 import type { Roll } from '../../membership/roll.js';
 import type { Primary } from '../../replica/primary.js';
--- a/src/duty/census.ts
+++ b/src/duty/census.ts
@@ -4,7 +4,7 @@
  * the quota. Until each one was heard, or the span is over, a proxy not heard yet may let in its even part unseen. So may
  * one whose last word shows that an answer did not reach it in time, until its next word or until it counts as silent.
  */
-import { Moment } from '../kinds/moment.js';
+import { Instant } from '../common/instant.js';
 
 export type Census = {
   /** Forgets all: this node holds the duty under a new term from now on. */
@@ -27,52 +27,52 @@
 
 export const Census = {
   of(roster: () => readonly string[]): Census {
-    let began = Moment.now();
+    let began = Instant.now();
     let heard = new Set<string>();
-    let alone = new Map<string, Moment>();
+    let alone = new Map<string, Instant>();
     let told = new Map<string, number>();
-    let askedAt = Moment.past;
+    let askedAt = Instant.past;
     const count = (team: string): number => Math.max(1, roster().length, told.get(team) ?? 0);
     let missing: readonly string[] = [];
-    let lookedAt = Moment.past;
+    let lookedAt = Instant.past;
     const unheard = (): readonly string[] => {
-      if (Moment.since(lookedAt) < lookEvery) return missing;
-      lookedAt = Moment.now();
+      if (Instant.since(lookedAt) < lookEvery) return missing;
+      lookedAt = Instant.now();
       missing = roster().filter((node) => !heard.has(node));
       return missing;
     };
     return {
       count,
       begin() {
-        began = Moment.now();
+        began = Instant.now();
         heard = new Set();
         alone = new Map();
         told = new Map();
-        askedAt = Moment.past;
-        lookedAt = Moment.past;
+        askedAt = Instant.past;
+        lookedAt = Instant.past;
       },
       hear(node, isAlone) {
         if (isAlone) {
-          alone.set(node, Moment.now());
+          alone.set(node, Instant.now());
           return;
         }
         alone.delete(node);
         if (heard.has(node)) return;
         heard.add(node);
-        lookedAt = Moment.past;
+        lookedAt = Instant.past;
       },
       learn(team, proxies) {
         told.set(team, Math.max(proxies, told.get(team) ?? 0));
       },
       isComplete(team, span) {
-        for (const [node, at] of alone) if (Moment.since(at) > silentAfter) alone.delete(node);
+        for (const [node, at] of alone) if (Instant.since(at) > silentAfter) alone.delete(node);
         if (alone.size > 0) return false;
-        if (Moment.since(began) > span) return true;
+        if (Instant.since(began) > span) return true;
         return heard.size >= count(team) && unheard().length === 0;
       },
       toAsk() {
-        if (Moment.since(askedAt) < askEvery) return [];
-        askedAt = Moment.now();
+        if (Instant.since(askedAt) < askEvery) return [];
+        askedAt = Instant.now();
         return unheard();
       },
     };
--- a/src/duty/failure-sums.ts
+++ b/src/duty/failure-sums.ts
@@ -1,6 +1,6 @@
 // What the proxies below a core told of failing servers, summed and passed on to all of them twice a second: the
 // worst few only, so that a day on which everything fails costs no more than one on which a server does.
-import { Timer } from '../kinds/timer.js';
+import { Timer } from '../common/timer.js';
 import type { Frame } from '../wire/frame.js';
 
 export type FailureSums = {
--- a/src/duty/ledger.ts
+++ b/src/duty/ledger.ts
@@ -1,6 +1,6 @@
 // What was used within the last span, kept in a few dozen slots. A slot counts until all of it is older than
 // the span, so the sum is never too low.
-import { Moment } from '../kinds/moment.js';
+import { Instant } from '../common/instant.js';
 
 export type Ledger = {
   readonly add: (work: Ledger.Work) => () => void;
@@ -12,7 +12,7 @@
   type Work = { readonly requests: number; readonly prompt: number };
 }
 
-type Slot = { requests: number; prompt: number; readonly from: Moment };
+type Slot = { requests: number; prompt: number; readonly from: Instant };
 
 const slots = 40;
 
@@ -26,13 +26,13 @@
     const grain = span / slots;
     let held: Slot[] = [];
     const prune = () => {
-      held = held.filter((slot) => Moment.since(slot.from) <= span + grain);
+      held = held.filter((slot) => Instant.since(slot.from) <= span + grain);
     };
     return {
       add({ requests, prompt }) {
         const last = held.at(-1);
         const slot =
-          last && Moment.since(last.from) < grain ? last : { requests: 0, prompt: 0, from: Moment.now() };
+          last && Instant.since(last.from) < grain ? last : { requests: 0, prompt: 0, from: Instant.now() };
         if (slot !== last) held.push(slot);
         slot.requests += requests;
         slot.prompt += prompt;
@@ -48,7 +48,7 @@
       freesIn() {
         prune();
         const first = held[0];
-        return first ? Math.max(0, span + grain - Moment.since(first.from)) : 0;
+        return first ? Math.max(0, span + grain - Instant.since(first.from)) : 0;
       },
     };
   },
--- a/src/duty/list-duty.ts
+++ b/src/duty/list-duty.ts
@@ -2,8 +2,8 @@
 // changed. The time a server still warms for runs down by itself and is no change; that it begins, ends or
 // is set back is one. A poll that fails or gives nothing changes nothing, and a busy source is left longer.
 
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
 import type { Document } from '../manifest/document.js';
 import { ListSource } from './list-source.js';
 import { Rounds } from './rounds.js';
@@ -20,7 +20,7 @@
   };
 }
 
-type Told = { readonly servers: readonly Document.Server[]; readonly at: Moment };
+type Told = { readonly servers: readonly Document.Server[]; readonly at: Instant };
 
 const { pollEvery } = ListSource;
 const lookEvery = 100;
@@ -38,7 +38,7 @@
 const isChanged = (before: Told, after: readonly Document.Server[]): boolean => {
   if (before.servers.length !== after.length) return true;
   const known = new Map(before.servers.map((one) => [one.instance, one]));
-  const passed = Moment.since(before.at);
+  const passed = Instant.since(before.at);
   return after.some((one) => {
     const was = known.get(one.instance);
     return !was || withoutWarming(was) !== withoutWarming(one) || isRewarmed(was, one, passed);
@@ -79,7 +79,7 @@
       if (polled.kind === 'failed') needs.note('the list could not be polled', { why: polled.why });
       if (polled.kind === 'failed' || polled.servers.length === 0 || !needs.isHeld()) return rest;
       rest = ListSource.rest(needs.source, polled.pieces);
-      const at = Moment.now();
+      const at = Instant.now();
       const before = told ?? { servers: needs.held(), at };
       const servers = polled.pieces > 1 ? keepOnce(before.servers, polled.servers, missed) : polled.servers;
       missed = new Set(servers.slice(polled.servers.length).map((one) => one.instance));
--- a/src/duty/lookout-duty.ts
+++ b/src/duty/lookout-duty.ts
@@ -2,7 +2,7 @@
 // its part of their rate, and tells the fronts which servers are to get nothing more. Only that: a server that
 // leaves, is gone, or whose address is another's. It commits nothing, so nobody has to agree, and the worst that
 // a wrong word does is that a server rests. What is new waits for a primary.
-import { Failure } from '../kinds/failure.js';
+import { Failure } from '../common/failure.js';
 import type { Document } from '../manifest/document.js';
 import { ListSource } from './list-source.js';
 import { Rounds } from './rounds.js';
--- a/src/duty/purse.ts
+++ b/src/duty/purse.ts
@@ -1,7 +1,7 @@
 // A purse holds tokens by the moment each was earned. A token exists once: it is added, and taken out to
 // be spent or passed on; one that has grown old is gone. Amounts are counted in thousandths, so that
 // fifths add up exactly.
-import { Moment } from '../kinds/moment.js';
+import { Instant } from '../common/instant.js';
 
 export type Purse = {
   readonly add: (batches: readonly Purse.Batch[]) => void;
@@ -14,7 +14,7 @@
   type Batch = { readonly amount: number; readonly age: number };
 }
 
-type Held = { amount: number; readonly born: Moment };
+type Held = { amount: number; readonly born: Instant };
 
 const lifetime = 5000;
 const grain = 500;
@@ -24,13 +24,13 @@
   of(): Purse {
     let held: Held[] = [];
     const expire = () => {
-      if (held.length > 0 && Moment.since(held[0]!.born) > lifetime)
-        held = held.filter((one) => Moment.since(one.born) <= lifetime);
+      if (held.length > 0 && Instant.since(held[0]!.born) > lifetime)
+        held = held.filter((one) => Instant.since(one.born) <= lifetime);
     };
     const total = (lasting = 0) => {
       expire();
       return held
-        .filter((one) => Moment.since(one.born) <= lifetime - lasting)
+        .filter((one) => Instant.since(one.born) <= lifetime - lasting)
         .reduce((sum, one) => sum + one.amount, 0);
     };
     return {
@@ -38,7 +38,7 @@
       add(batches) {
         for (const { amount, age } of batches) {
           if (!(amount > 0) || !(age >= 0) || age > lifetime) continue;
-          const born = Moment.after(-age);
+          const born = Instant.after(-age);
           const near = held.find((one) => born >= one.born && born - one.born < grain);
           if (near) near.amount += amount;
           else held = [...held, { amount, born }].sort((a, b) => a.born - b.born);
@@ -52,7 +52,7 @@
           const part = Math.min(one.amount, left);
           one.amount -= part;
           left -= part;
-          if (part > 0) taken.push({ amount: part, age: Moment.since(one.born) });
+          if (part > 0) taken.push({ amount: part, age: Instant.since(one.born) });
           if (left === 0) break;
         }
         held = held.filter((one) => one.amount > 0);
--- a/src/duty/quota-duty.ts
+++ b/src/duty/quota-duty.ts
@@ -4,7 +4,7 @@
 // word of it is a sign of life for all of them; from any other each team must be told again and again. A new holder
 // listens first, and asks each proxy for all. Until every proxy that it or they know of has told, or the quota's span is
 // over, it grants nothing beyond a proxy's even part, for that is what a proxy not heard yet lets in alone.
-import { Moment } from '../kinds/moment.js';
+import { Instant } from '../common/instant.js';
 import type { Frame } from '../wire/frame.js';
 import { Census } from './census.js';
 import { Ledger } from './ledger.js';
@@ -21,9 +21,9 @@
   type Usage = { readonly used: Ledger.Work; readonly quota: QuotaDuty.Quota; readonly proxies: number };
 }
 
-type Told = { readonly mine: Ledger.Work; readonly at: Moment; readonly isLive: boolean };
+type Told = { readonly mine: Ledger.Work; readonly at: Instant; readonly isLive: boolean };
 type Team = { readonly told: Map<string, Told>; readonly aging: Set<string>; sum: Ledger.Work };
-type Proxy = { readonly teams: Set<string>; heard: Moment; isKnown: boolean };
+type Proxy = { readonly teams: Set<string>; heard: Instant; isKnown: boolean };
 
 const grantFor = 2000;
 const listenFor = 1200;
@@ -72,11 +72,11 @@
     let teams = new Map<string, Team>();
     let proxies = new Map<string, Proxy>();
     let silent: readonly string[] = [];
-    let lookedAt = Moment.past;
+    let lookedAt = Instant.past;
     let epoch = 0;
-    let began = Moment.now();
+    let began = Instant.now();
     const proxyOf = (node: string): Proxy => {
-      const proxy = proxies.get(node) ?? { teams: new Set(), heard: Moment.now(), isKnown: false };
+      const proxy = proxies.get(node) ?? { teams: new Set(), heard: Instant.now(), isKnown: false };
       proxies.set(node, proxy);
       return proxy;
     };
@@ -96,11 +96,13 @@
       else proxies.get(node)?.teams.delete(name);
     };
     const silentNow = (): readonly string[] => {
-      if (Moment.since(lookedAt) < lookEvery) return silent;
-      lookedAt = Moment.now();
+      if (Instant.since(lookedAt) < lookEvery) return silent;
+      lookedAt = Instant.now();
       for (const [node, { heard, teams: told }] of proxies)
-        if (told.size === 0 && Moment.since(heard) > forgetAfter) proxies.delete(node);
-      silent = [...proxies].flatMap(([node, { heard }]) => (Moment.since(heard) > silentAfter ? [node] : []));
+        if (told.size === 0 && Instant.since(heard) > forgetAfter) proxies.delete(node);
+      silent = [...proxies].flatMap(([node, { heard }]) =>
+        Instant.since(heard) > silentAfter ? [node] : [],
+      );
       return silent;
     };
     // What all proxies used and hold; one that is silent may have let in its even part by now.
@@ -112,7 +114,7 @@
       for (const node of new Set([...silentNow(), ...team.aging])) {
         const one = team.told.get(node);
         if (!one) continue;
-        const since = Moment.since(one.isLive ? proxyOf(node).heard : one.at);
+        const since = Instant.since(one.isLive ? proxyOf(node).heard : one.at);
         if (since > quota.span + grantFor) set(name, node, undefined);
         if (since <= silentAfter || since > quota.span + grantFor) continue;
         const { mine } = one;
@@ -127,7 +129,7 @@
       const mine = Ledger.sum(use.used, Ledger.sum(use.holds, given));
       const isLive = proxyOf(node).isKnown;
       const isNothing = isLive && mine.requests === 0 && mine.prompt === 0;
-      set(use.team, node, isNothing ? undefined : { mine, at: Moment.now(), isLive });
+      set(use.team, node, isNothing ? undefined : { mine, at: Instant.now(), isLive });
     };
     const leftOfEvenPart = (use: Frame.Use, whole: Ledger.Work): Ledger.Work => {
       const proxies = census.count(use.team);
@@ -171,7 +173,7 @@
         leave(node, proxy, (team) => spoken.has(team));
       }
       proxy.isKnown = life && (whole || proxy.isKnown);
-      proxy.heard = Moment.now();
+      proxy.heard = Instant.now();
       return proxy.isKnown;
     };
     const look = (under: number) => {
@@ -180,8 +182,8 @@
       teams = new Map();
       proxies = new Map();
       census.begin();
-      lookedAt = Moment.past;
-      began = Moment.now();
+      lookedAt = Instant.past;
+      began = Instant.now();
     };
     return {
       look,
@@ -198,7 +200,7 @@
         const whole = frame.life === true && !life;
         const response = { ...frame, epoch: under, batches: [], wanted: 0, uses: [], life, whole };
         for (const { team, proxies: known = 0 } of frame.uses) census.learn(team, known);
-        if (Moment.since(began) < listenFor) {
+        if (Instant.since(began) < listenFor) {
           for (const use of frame.uses) note(frame.node, use, use.must);
           return frame.life ? { ...response, grants: [], listening: true } : undefined;
         }
--- a/src/duty/report-duty.ts
+++ b/src/duty/report-duty.ts
@@ -1,7 +1,7 @@
 // The report duty at the acting primary: asks every server that reports for its load, a few at a time, and passes
 // on what changed. One asker for all proxies: a report costs a server what a probe costs. What it says is soft:
 // a proxy that hears nothing judges by what it sent itself.
-import { Timer } from '../kinds/timer.js';
+import { Timer } from '../common/timer.js';
 import type { Document } from '../manifest/document.js';
 import type { ReportSource } from './report-source.js';
 
--- a/src/duty/rounds.ts
+++ b/src/duty/rounds.ts
@@ -1,6 +1,6 @@
 // A duty's rounds: one step after another, each of which says how long to rest before the next. A step that fails
 // is told of and followed by the usual rest; stopping waits for the step under way.
-import { Timer } from '../kinds/timer.js';
+import { Timer } from '../common/timer.js';
 
 export type Rounds = { readonly stop: () => Promise<void> };
 
--- a/src/epoch/acceptor.ts
+++ b/src/epoch/acceptor.ts
@@ -1,6 +1,6 @@
 // What a core's part of the register keeps, and the rules by which it changes: pure functions from what
 // is kept and what is asked to what has to be kept (and synced) before the answer, or to a refusal.
-import { Epoch } from '../kinds/epoch.js';
+import { Epoch } from '../common/epoch.js';
 import { Ballot } from './ballot.js';
 import { Term } from './term.js';
 
--- a/src/epoch/exchange.ts
+++ b/src/epoch/exchange.ts
@@ -1,11 +1,11 @@
 // The questions of the register, each put to this core and to all others at once: what they hold, whether
 // they promise a ballot, whether they accept a term. The votes that come back also tell which rounds were
 // used, so that the next ballot goes above them all.
-import type { Epoch } from '../kinds/epoch.js';
-import type { Stamp } from '../kinds/stamp.js';
-import { Timer } from '../kinds/timer.js';
-import type { Courier } from '../wire/courier.js';
+import type { Epoch } from '../common/epoch.js';
+import type { Stamp } from '../common/stamp.js';
+import { Timer } from '../common/timer.js';
 import type { Frame } from '../wire/frame.js';
+import type { PeerClient } from '../wire/peer-client.js';
 import { Ballot } from './ballot.js';
 import type { Register } from './register.js';
 import { Term } from './term.js';
@@ -32,7 +32,7 @@
 export declare namespace Exchange {
   type Needs = {
     readonly register: Register;
-    readonly couriers: () => readonly Courier[];
+    readonly couriers: () => readonly PeerClient[];
     readonly core: () => Frame.Core;
     readonly highest: () => Epoch;
     readonly isAble: () => boolean;
@@ -44,8 +44,8 @@
 const answerWithin = 1000;
 
 type Ask = {
-  readonly couriers: readonly Courier[];
-  readonly request: Parameters<Courier['ask']>[0];
+  readonly couriers: readonly PeerClient[];
+  readonly request: Parameters<PeerClient['ask']>[0];
   /** Whether this core grants it. */
   readonly own: Promise<boolean>;
   readonly vote: (isGranted: boolean) => Vote;
--- a/src/epoch/register.ts
+++ b/src/epoch/register.ts
@@ -11,8 +11,8 @@
 // append that was refused has left nothing that a later one could contradict. Raised by an accepted term, it
 // is in that term's record.
 import { randomUUID } from 'node:crypto';
-import { Epoch } from '../kinds/epoch.js';
-import { Turns } from '../kinds/turns.js';
+import { Epoch } from '../common/epoch.js';
+import { Mutex } from '../common/mutex.js';
 import type { File } from '../store/file.js';
 import { Acceptor } from './acceptor.js';
 import { Ballot } from './ballot.js';
@@ -57,7 +57,7 @@
   async open(file: File): Promise<Register> {
     const last = file.payloads.at(-1);
     let kept = last ? unpack(last) : blank();
-    const turns = Turns.of();
+    const turns = Mutex.of();
     const watchers = new Set<(term: Term) => void>();
     const keep = async (next: Acceptor) => {
       const bytes = pack(next);
--- a/src/epoch/term.ts
+++ b/src/epoch/term.ts
@@ -3,7 +3,7 @@
 // address is never taken for the one that was there. Of two that were accepted, the newer is the one of the
 // later forming, and within one forming that of the higher ballot: one with a higher epoch may have been
 // accepted by too few, and never be chosen.
-import { Epoch } from '../kinds/epoch.js';
+import { Epoch } from '../common/epoch.js';
 import type { Frame } from '../wire/frame.js';
 import { Ballot } from './ballot.js';
 
--- a/src/log/ring.ts
+++ b/src/log/log-buffer.ts
@@ -1,6 +1,6 @@
 // The log: a ring of the last entries in memory. It is written out, whole, when something goes wrong
 // enough to say so, and can be read over the operations port at any time.
-export type Ring = {
+export type LogBuffer = {
   readonly note: (text: string, facts?: Record<string, unknown>) => void;
   readonly alert: (text: string, facts?: Record<string, unknown>) => void;
   readonly entries: () => readonly Record<string, unknown>[];
@@ -9,8 +9,8 @@
 const size = 512;
 const quietFor = 5000;
 
-export const Ring = {
-  of(node: string): Ring {
+export const LogBuffer = {
+  of(node: string): LogBuffer {
     const kept: Record<string, unknown>[] = [];
     let written = 0;
     let counter = 0;
--- a/src/manifest/check.ts
+++ b/src/manifest/check.ts
@@ -1,6 +1,6 @@
 // Checking a manifest: first its form, then that every name it uses is one it defines and that its
 // parts do not contradict each other. All findings come back together, each with its place.
-import { Guard } from '../kinds/guard.js';
+import { Guard } from '../common/guard.js';
 import { Document } from './document.js';
 
 type Known = (name: string) => boolean;
--- a/src/manifest/compiled.ts
+++ b/src/manifest/compiled.ts
@@ -2,9 +2,9 @@
 // which steps a rule's chain has for a home, and which servers may run a step just now. Defaults are
 // filled in here and nowhere else.
 import { createHash } from 'node:crypto';
-import { type Address, Address as Addresses } from '../kinds/address.js';
-import type { Ident } from '../kinds/ident.js';
-import type { Stamp } from '../kinds/stamp.js';
+import { type Address, Address as Addresses } from '../common/address.js';
+import type { Id } from '../common/id.js';
+import type { Stamp } from '../common/stamp.js';
 import type { Document } from './document.js';
 import type { View } from './view.js';
 import { Wall } from './wall.js';
@@ -14,10 +14,10 @@
   readonly rules: readonly Compiled.Rule[];
   readonly groups: ReadonlyMap<string, Compiled.Group>;
   readonly servers: ReadonlyMap<string, Compiled.Server>;
-  readonly homes: ReadonlyMap<string, readonly Ident.Region[]>;
+  readonly homes: ReadonlyMap<string, readonly Id.Region[]>;
   readonly isEvacuated: (zone: string) => boolean;
-  readonly regionOf: (zone: string) => Ident.Region | undefined;
-  readonly regions: readonly Ident.Region[];
+  readonly regionOf: (zone: string) => Id.Region | undefined;
+  readonly regions: readonly Id.Region[];
   readonly limits: Document.Limits;
   readonly walls: Wall.Walls | undefined;
   readonly openTeam: Compiled.Team | undefined;
@@ -26,17 +26,17 @@
 
 export declare namespace Compiled {
   type Team = {
-    readonly name: Ident.Team;
-    readonly home: Ident.Home | undefined;
-    readonly homes: readonly Ident.Home[] | undefined;
+    readonly name: Id.Team;
+    readonly home: Id.Home | undefined;
+    readonly homes: readonly Id.Home[] | undefined;
     readonly quota: Document.Quota | undefined;
   };
   type Ejection = { readonly consecutive: number; readonly base: number; readonly percent: number };
   type Group = {
-    readonly name: Ident.Group;
+    readonly name: Id.Group;
     readonly kind: 'model' | 'plain';
     readonly models: readonly string[];
-    readonly regions: readonly Ident.Region[];
+    readonly regions: readonly Id.Region[];
     readonly identity: Document.Identity;
     readonly proof: Document.Proof | undefined;
     /** The header in which its servers send back the id of the request that they answer. */
@@ -51,16 +51,16 @@
     readonly servers: readonly Server[];
   };
   type Server = {
-    readonly instance: Ident.Instance;
-    readonly group: Ident.Group;
+    readonly instance: Id.Instance;
+    readonly group: Id.Group;
     readonly address: Address;
-    readonly region: Ident.Region;
-    readonly zone: Ident.Zone;
+    readonly region: Id.Region;
+    readonly zone: Id.Zone;
     readonly isOpen: boolean;
     readonly slots: number | undefined;
     readonly warming: number;
   };
-  type Step = { readonly groups: readonly Ident.Group[]; readonly model: string | undefined };
+  type Step = { readonly groups: readonly Id.Group[]; readonly model: string | undefined };
   type Retry = {
     readonly on: ReadonlySet<string>;
     readonly codes: ReadonlySet<number>;
@@ -80,9 +80,9 @@
     readonly aim: number | undefined;
     readonly gap: number | undefined;
     readonly priority: number | undefined;
-    readonly homeRegions: readonly Ident.Region[] | undefined;
+    readonly homeRegions: readonly Id.Region[] | undefined;
     readonly homeHeader: string | undefined;
-    readonly spill: readonly Ident.Region[];
+    readonly spill: readonly Id.Region[];
     readonly hops: number;
     readonly timeouts: Document.Timeouts;
     readonly bounds: Document.Timeouts;
@@ -90,7 +90,7 @@
     readonly isAffine: boolean;
     readonly isShared: boolean;
     readonly body: number;
-    readonly teams: readonly Ident.Team[] | undefined;
+    readonly teams: readonly Id.Team[] | undefined;
   };
 }
 
@@ -173,7 +173,7 @@
   servers: readonly Compiled.Server[],
   walls: Document.Walls | undefined,
 ): Compiled.Group => ({
-  name: name as Ident.Group,
+  name: name as Id.Group,
   kind: group.kind,
   models: group.models ?? [],
   regions: group.regions,
@@ -231,7 +231,7 @@
     const teams = new Map<string, Compiled.Team>();
     let openTeam: Compiled.Team | undefined;
     for (const [name, { keys, home, homes, quota, open }] of Object.entries(document.teams)) {
-      const team = { name: name as Ident.Team, home, homes, quota };
+      const team = { name: name as Id.Team, home, homes, quota };
       for (const key of keys) teams.set(key, team);
       if (open) openTeam = team;
     }
--- a/src/manifest/document.ts
+++ b/src/manifest/document.ts
@@ -1,8 +1,8 @@
 // The manifest as operators write it, and the platform's server list, each described once as a guard
 // from which the type follows. The names of timeouts, retry conditions and ejection settings are the
 // paper's; spans are milliseconds.
-import { Guard } from '../kinds/guard.js';
-import type { Ident } from '../kinds/ident.js';
+import { Guard } from '../common/guard.js';
+import type { Id } from '../common/id.js';
 
 const word = { like: /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/, as: 'a name of letters, digits, . _ -' };
 const header = Guard.text({ like: /^[a-z0-9-]{1,64}$/, as: 'a header name in lower case' });
@@ -10,12 +10,12 @@
 const status = Guard.whole({ min: 400, max: 599 });
 const path = Guard.text({ like: /^\/[^\s?#]*$/, as: 'a path that begins with /' });
 
-const group = Guard.text<Ident.Group>(word);
-const region = Guard.text<Ident.Region>(word);
-const zone = Guard.text<Ident.Zone>(word);
-const home = Guard.text<Ident.Home>(word);
-const team = Guard.text<Ident.Team>(word);
-const instance = Guard.text<Ident.Instance>(word);
+const group = Guard.text<Id.Group>(word);
+const region = Guard.text<Id.Region>(word);
+const zone = Guard.text<Id.Zone>(word);
+const home = Guard.text<Id.Home>(word);
+const team = Guard.text<Id.Team>(word);
+const instance = Guard.text<Id.Instance>(word);
 
 const timeouts = { connect: span, first_byte: span, per_try: span, total: span, idle: span };
 const place = Guard.record(
--- a/src/manifest/view.ts
+++ b/src/manifest/view.ts
@@ -1,9 +1,9 @@
 // A view is what news carries: the manifest and the platform's list as of one stamp, always whole. It
 // is never changed, only replaced by one with a higher stamp.
-import { Epoch } from '../kinds/epoch.js';
-import { Failure } from '../kinds/failure.js';
-import { Revision } from '../kinds/revision.js';
-import { Stamp } from '../kinds/stamp.js';
+import { Epoch } from '../common/epoch.js';
+import { Failure } from '../common/failure.js';
+import { Revision } from '../common/revision.js';
+import { Stamp } from '../common/stamp.js';
 import type { Document } from './document.js';
 
 export type View = {
--- a/src/manifest/wall-change.ts
+++ b/src/manifest/wall-change.ts
@@ -1,7 +1,7 @@
 // What a change of the manifest may do to the walls. A secret that is not told is the one in force, or is made;
 // "new" makes one. Generations only rise, and rise with each new secret. A group whose servers keep no walls may
 // be given to one tenant only as long as no kept manifest had it otherwise: its servers may hold others' work.
-import { Guard } from '../kinds/guard.js';
+import { Guard } from '../common/guard.js';
 import type { Document } from './document.js';
 import { Wall } from './wall.js';
 
--- a/src/manifest/wall.ts
+++ b/src/manifest/wall.ts
@@ -2,7 +2,7 @@
 // The salt is derived by HKDF from the manifest's secret alone, so that all nodes have the same without talking.
 // The teams of an owner are part of what is derived from, for who joins later must not find what was kept before.
 import { createHash, hkdfSync } from 'node:crypto';
-import type { Ident } from '../kinds/ident.js';
+import type { Id } from '../common/id.js';
 import type { Document } from './document.js';
 
 export type Wall = { readonly name: string; readonly generation: number; readonly salt: string };
@@ -15,7 +15,7 @@
     | { readonly kind: 'refused' }
     | { readonly kind: 'open' };
   type Walls = {
-    readonly of: (team: Ident.Team) => Wall | undefined;
+    readonly of: (team: Id.Team) => Wall | undefined;
     readonly shared: () => Wall | undefined;
     readonly fields: ReadonlySet<string>;
     readonly headers: ReadonlySet<string>;
--- a/src/membership/dispatch.ts
+++ b/src/membership/dispatch.ts
@@ -1,7 +1,7 @@
 // Sends one child the newest view: what is small goes at once, what is large in the child's turn, and then what
 // is newest by that time. A child asks again with every ping until it has the view: what it asks while it waits, or
 // asked before the view reached it, is one question.
-import { Stamp } from '../kinds/stamp.js';
+import { Stamp } from '../common/stamp.js';
 import { View } from '../manifest/view.js';
 import type { Feed } from '../news/feed.js';
 import { Copies } from '../repair/copies.js';
--- a/src/membership/downlink.ts
+++ b/src/membership/downlink.ts
@@ -4,9 +4,9 @@
 // other child was just asked. A child that came with the view that is held here is sent only what changes of it. A core
 // that is not the source of the news tells other cores only that it has them: they hear them there, and ask for the rest.
 import { match } from 'ts-pattern';
-import { Failure } from '../kinds/failure.js';
-import { Stamp } from '../kinds/stamp.js';
-import { Timer } from '../kinds/timer.js';
+import { Failure } from '../common/failure.js';
+import { Stamp } from '../common/stamp.js';
+import { Timer } from '../common/timer.js';
 import type { Feed } from '../news/feed.js';
 import { Copies } from '../repair/copies.js';
 import type { Frame } from '../wire/frame.js';
--- a/src/membership/places.ts
+++ b/src/membership/places.ts
@@ -3,8 +3,8 @@
 // among those tried, so that a node cut off from every control node finds its way through a peer. After a
 // relay was no good the node stays with control nodes for a while, whatever they name. It remembers where the
 // control nodes it met stand, so that a node which ended up with a far one may go back to a near one.
-import { Address } from '../kinds/address.js';
-import { Moment } from '../kinds/moment.js';
+import { Address } from '../common/address.js';
+import { Instant } from '../common/instant.js';
 
 export type Places = {
   readonly next: () => readonly string[];
@@ -28,11 +28,11 @@
   of(seeds: readonly string[], node: string, isFixed: boolean): Places {
     const first = hash(node) % Math.max(1, seeds.length);
     const places = [...seeds.slice(first), ...seeds.slice(0, first)];
-    const failedAt = new Map<string, Moment>();
+    const failedAt = new Map<string, Instant>();
     const zones = new Map<string, string>();
     let preferred: string[] = [];
-    let stayUntil = Moment.past;
-    const since = (place: string): number => failedAt.get(place) ?? Moment.past;
+    let stayUntil = Instant.past;
+    const since = (place: string): number => failedAt.get(place) ?? Instant.past;
     return {
       all: () => places,
       met: (place, zone) => void zones.set(place, zone),
@@ -43,7 +43,7 @@
         preferred = near.length > 0 ? near.sort((a, b) => since(a) - since(b)) : preferred;
         return near.length > 0;
       },
-      failed: (place) => void failedAt.set(place, Moment.now()),
+      failed: (place) => void failedAt.set(place, Instant.now()),
       next() {
         const order = [...places].sort(
           (a, b) => since(a) - since(b) || places.indexOf(a) - places.indexOf(b),
@@ -66,10 +66,10 @@
       },
       lower(relays, own) {
         const others = relays.filter((relay) => Address.parse(relay) !== undefined);
-        if (others.length === 0 || others.includes(own) || !Moment.isPast(stayUntil)) return false;
+        if (others.length === 0 || others.includes(own) || !Instant.isPast(stayUntil)) return false;
         const start = hash(node) % others.length;
         preferred = [...others.slice(start), ...others.slice(0, start)];
-        stayUntil = Moment.after(stayFor);
+        stayUntil = Instant.after(stayFor);
         return true;
       },
     };
--- a/src/membership/roll.ts
+++ b/src/membership/roll.ts
@@ -4,7 +4,7 @@
 // below changed or ended, so that only those need to be passed on at once. In between a heartbeat speaks for all the
 // others: their count and a digest, and by name and age those that were not heard of lately, which go on ageing above.
 import { createHash } from 'node:crypto';
-import { Moment } from '../kinds/moment.js';
+import { Instant } from '../common/instant.js';
 import type { Frame } from '../wire/frame.js';
 
 export type Roll = {
@@ -35,7 +35,7 @@
   readonly entry: Frame.Entry;
   readonly digest: bigint;
   readonly isBelow: boolean;
-  left: Moment;
+  left: Instant;
   isListed: boolean;
 };
 
@@ -71,7 +71,7 @@
     const held = new Map<string, Held>();
     const watchers = new Set<(changed: readonly string[]) => void>();
     let counter = 0;
-    let joinedAt = Moment.past;
+    let joinedAt = Instant.past;
     const self = (): Frame.Entry => ({ ...describe(), counter: ++counter, age: 0, via: '' });
     const tell = (changed: readonly string[]) => {
       if (changed.length > 0) for (const see of [...watchers]) see(changed);
@@ -83,22 +83,22 @@
     };
     const expire = () => {
       for (const one of held.values())
-        if (Moment.since(one.left) > staleAfter) {
-          remove(({ left }) => Moment.since(left) > staleAfter);
+        if (Instant.since(one.left) > staleAfter) {
+          remove(({ left }) => Instant.since(left) > staleAfter);
           return;
         }
     };
     const list = (choose: (one: Held) => boolean): Frame.Entry[] => {
       expire();
-      return [...held.values()].filter(choose).map((one) => ({ ...one.entry, age: Moment.since(one.left) }));
+      return [...held.values()].filter(choose).map((one) => ({ ...one.entry, age: Instant.since(one.left) }));
     };
     // A node that left one parent is most likely on its way to another: its entry stays for a while, but not for long.
     const strikeAll = (via: string, isStruck: (node: string) => boolean) => {
-      const until = Moment.after(movesWithin - staleAfter);
+      const until = Instant.after(movesWithin - staleAfter);
       for (const [node, one] of held)
         if (one.entry.via === via && one.isListed && isStruck(node)) {
           one.isListed = false;
-          one.left = Moment.earliest(one.left, until);
+          one.left = Instant.earliest(one.left, until);
         }
     };
     const note = (entries: readonly Frame.Entry[], via: string, isBelow: boolean) => {
@@ -107,7 +107,7 @@
       for (const entry of entries) {
         if (entry.node === own) continue;
         const known = held.get(entry.node);
-        const left = Moment.after(-entry.age);
+        const left = Instant.after(-entry.age);
         const isNewer =
           known === undefined ||
           (known.entry.boot === entry.boot ? entry.counter > known.entry.counter : left > known.left);
@@ -116,7 +116,7 @@
           if (isSame && known.entry.via === via) held.set(entry.node, { ...known, left, isListed: true });
           continue;
         }
-        if (known?.entry.boot !== entry.boot) joinedAt = Moment.now();
+        if (known?.entry.boot !== entry.boot) joinedAt = Instant.now();
         const digest = digestOf(entry);
         if (known?.digest !== digest && isBelow) changed.push(entry.node);
         held.set(entry.node, { entry: { ...entry, via }, digest, left, isBelow, isListed: true });
@@ -137,12 +137,12 @@
       heartbeat() {
         expire();
         const below = [...held.values()].filter((one) => one.isBelow);
-        const now = Moment.now();
+        const now = Instant.now();
         const isFresh = (one: Held) => now - one.left <= freshFor;
         const fresh = below.filter(isFresh);
         const stale = below
           .filter((one) => !isFresh(one))
-          .map((one) => ({ node: one.entry.node, age: Moment.since(one.left) }));
+          .map((one) => ({ node: one.entry.node, age: Instant.since(one.left) }));
         const digest = together([digestOf(self()), ...fresh.map((one) => one.digest)]);
         return { count: fresh.length + 1, digest, stale };
       },
@@ -152,11 +152,11 @@
         const listed = [...held.values()].filter(({ entry, isListed }) => entry.via === via && isListed);
         const spoken = listed.filter(({ entry }) => !unheard.has(entry.node));
         if (spoken.length !== count || together(spoken.map((one) => one.digest)) !== digest) return false;
-        const now = Moment.now();
+        const now = Instant.now();
         for (const one of spoken) one.left = now;
         for (const { node, age } of stale) {
           const one = held.get(node);
-          if (one?.entry.via === via) one.left = Moment.after(-age, now);
+          if (one?.entry.via === via) one.left = Instant.after(-age, now);
         }
         return true;
       },
@@ -165,10 +165,10 @@
       get(node) {
         if (node === describe().node) return self();
         const one = held.get(node);
-        if (!one || Moment.since(one.left) > staleAfter) return undefined;
-        return { ...one.entry, age: Moment.since(one.left) };
+        if (!one || Instant.since(one.left) > staleAfter) return undefined;
+        return { ...one.entry, age: Instant.since(one.left) };
       },
-      quietFor: () => Moment.since(joinedAt),
+      quietFor: () => Instant.since(joinedAt),
       watch(see) {
         watchers.add(see);
         return () => void watchers.delete(see);
--- a/src/membership/turns.ts
+++ b/src/membership/turns.ts
@@ -1,9 +1,9 @@
 // Whose turn it is to get a whole view, and whose to hand one up. A few at a time get one, those first that pass it
 // on to others; between two of them the process reads and sends its pings, so that nobody who waits takes it for
 // silent. Of the children that hold a newer view than is held here one is asked, and another only after a while.
-import { Moment } from '../kinds/moment.js';
-import { Stamp } from '../kinds/stamp.js';
-import { Timer } from '../kinds/timer.js';
+import { Instant } from '../common/instant.js';
+import { Stamp } from '../common/stamp.js';
+import { Timer } from '../common/timer.js';
 
 export type Turns = {
   readonly give: (isFirst: boolean, work: () => Promise<void>) => void;
@@ -22,7 +22,7 @@
     const others: (() => Promise<void>)[] = [];
     let running = 0;
     let asked = Stamp.none;
-    let askedAt = Moment.past;
+    let askedAt = Instant.past;
     const next = () => {
       if (running >= atOnce) return;
       const work = first.shift() ?? others.shift();
@@ -43,9 +43,9 @@
         next();
       },
       mayAsk(stamp) {
-        if (!Stamp.isNewer(stamp, asked) && Moment.since(askedAt) < askAgainAfter) return false;
+        if (!Stamp.isNewer(stamp, asked) && Instant.since(askedAt) < askAgainAfter) return false;
         asked = stamp;
-        askedAt = Moment.now();
+        askedAt = Instant.now();
         return true;
       },
     };
--- a/src/membership/uplink.ts
+++ b/src/membership/uplink.ts
@@ -4,12 +4,12 @@
 // the parent asks, for it holds others. It leaves a parent that is silent, or whose word from the primary has grown old while others may have a newer one, and seeks the next at once:
 // a few places are dialled one after another in quick succession, and the first that takes the call is asked.
 import { match } from 'ts-pattern';
-import { Address } from '../kinds/address.js';
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
-import { Phase } from '../kinds/phase.js';
-import { Stamp } from '../kinds/stamp.js';
-import { Timer } from '../kinds/timer.js';
+import { Address } from '../common/address.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
+import { Stamp } from '../common/stamp.js';
+import { StateMachine } from '../common/state-machine.js';
+import { Timer } from '../common/timer.js';
 import type { Feed } from '../news/feed.js';
 import { Copies } from '../repair/copies.js';
 import { Ranges } from '../repair/ranges.js';
@@ -68,14 +68,14 @@
   run(needs: Uplink.Needs): Uplink {
     const { feed, roll } = needs;
     const stop = new AbortController();
-    const phase = Phase.of('seeking', {
+    const phase = StateMachine.of('seeking', {
       seeking: ['joining', 'stopped'],
       joining: ['joined', 'seeking', 'stopped'],
       joined: ['seeking', 'stopped'],
       stopped: [],
     });
     const places = Places.of(needs.seeds, roll.self().node, needs.isFixed ?? false);
-    let joinedAt = Moment.now();
+    let joinedAt = Instant.now();
     let parent = '';
     let current: Link | undefined;
     let isBelowAgent = false;
@@ -83,8 +83,8 @@
     let currentPlace = '';
     let farFor: number = nearerAfter.least;
     let protocol: Protocol = Protocol.none;
-    let askedAt: Moment | undefined;
-    let lookedNearerAt = Moment.past;
+    let askedAt: Instant | undefined;
+    let lookedNearerAt = Instant.past;
     let roster: readonly string[] = [];
     let isAskingRoster = false;
     let lastTold = '';
@@ -97,9 +97,9 @@
       return zone === here || (zones?.[here] !== undefined && zones[here]?.region === zones[zone]?.region);
     };
     const mayGoNearer = () => {
-      if (needs.isFixed || isBelowAgent || Moment.since(joinedAt) < farFor) return false;
-      if (Moment.since(lookedNearerAt) < lookNearerEvery) return false;
-      lookedNearerAt = Moment.now();
+      if (needs.isFixed || isBelowAgent || Instant.since(joinedAt) < farFor) return false;
+      if (Instant.since(lookedNearerAt) < lookNearerEvery) return false;
+      lookedNearerAt = Instant.now();
       if (!places.nearer(currentPlace, isNear)) return false;
       farFor = Math.min(2 * farFor, nearerAfter.most);
       return true;
@@ -160,7 +160,7 @@
     const cut = () => (protocol >= Protocol.rangesByName ? 'name' : 'position');
     const ask = (link: Link, digests = Ranges.digests(Copies.of(feed.view(), cut()))) => {
       if (askedAt !== undefined) return;
-      askedAt = Moment.now();
+      askedAt = Instant.now();
       link.send({ kind: 'ask', digests });
     };
     const handUp = async (link: Link) => {
@@ -171,10 +171,10 @@
     };
     // While the view that was asked for is on its way, only the parent's own word says whether it is cut off.
     const lookAtAge = (age: number) => {
-      const isAsking = askedAt !== undefined && Moment.since(askedAt) < answerWithin;
+      const isAsking = askedAt !== undefined && Instant.since(askedAt) < answerWithin;
       if (!isAsking) askedAt = undefined;
       const isOld =
-        (isAsking ? age : feed.age()) > oldAfter && (isBelowAgent || Moment.since(joinedAt) > oldAfter);
+        (isAsking ? age : feed.age()) > oldAfter && (isBelowAgent || Instant.since(joinedAt) > oldAfter);
       if (isOld && isFree()) throw Failure.of('silence', 'no fresh word from the primary here');
     };
     const goLower = (relays: readonly string[], link: Link): boolean => {
@@ -192,7 +192,7 @@
       needs.onWord?.();
       lookAtAge(age);
       if (Stamp.isNewer(stamp, feed.stamp())) ask(link);
-      if (mayGoNearer() || (isFar && Moment.since(joinedAt) > stayFar))
+      if (mayGoNearer() || (isFar && Instant.since(joinedAt) > stayFar))
         throw Failure.of('silence', 'time to look for a nearer parent');
     };
     const take = (frame: Exclude<Frame, { kind: 'ping' }>, link: Link) =>
@@ -206,7 +206,7 @@
           if (isBelowAgent && age > oldAfter && isFree())
             throw Failure.of('silence', 'no fresh word from the primary there');
           phase.become('joined');
-          joinedAt = Moment.now();
+          joinedAt = Instant.now();
           parent = self.node;
           isFar = isBelowAgent && self.zone !== roll.self().zone;
           needs.onParent?.(self, stamp);
--- a/src/news/feed.ts
+++ b/src/news/feed.ts
@@ -4,8 +4,8 @@
 // relay notices and looks elsewhere. Word that names a newer view than the one held does not count, and
 // word that names the very view held vouches for it: it was the newest when that word left the primary. The
 // first such word for a view is told to those who pass words on, so that it need not wait for their next ping.
-import { Moment } from '../kinds/moment.js';
-import { Stamp } from '../kinds/stamp.js';
+import { Instant } from '../common/instant.js';
+import { Stamp } from '../common/stamp.js';
 import { View } from '../manifest/view.js';
 
 export type Feed = {
@@ -16,15 +16,15 @@
   readonly watchWord: (see: () => void) => () => void;
   readonly hear: (age: number, stamp: Stamp) => void;
   readonly age: () => number;
-  readonly vouchedAt: () => Moment;
+  readonly vouchedAt: () => Instant;
   readonly ignored: () => number;
 };
 
 export const Feed = {
   of(first: View = View.empty): Feed {
     let view = first;
-    let heard = Moment.past;
-    let vouched = Moment.past;
+    let heard = Instant.past;
+    let vouched = Instant.past;
     let ignored = 0;
     let isVouched = false;
     const wordWatchers = new Set<() => void>();
@@ -54,7 +54,7 @@
       },
       hear(age, stamp) {
         if (Stamp.isNewer(stamp, view.stamp)) return;
-        const at = Moment.after(-age);
+        const at = Instant.after(-age);
         if (at > heard) heard = at;
         if (at <= vouched || !view.manifest || !Stamp.isSame(stamp, view.stamp)) return;
         vouched = at;
@@ -62,7 +62,7 @@
         isVouched = true;
         for (const see of [...wordWatchers]) see();
       },
-      age: () => Moment.since(heard),
+      age: () => Instant.since(heard),
       vouchedAt: () => vouched,
     };
   },
--- a/src/news/relays.ts
+++ b/src/news/relays.ts
@@ -1,7 +1,7 @@
 // Which agents relay news in a zone: the first two by name of those live there. The others are told to
 // go to them once they hold a view, so that news crosses between regions twice a zone however many machines stand
 // in it.
-import { Stamp } from '../kinds/stamp.js';
+import { Stamp } from '../common/stamp.js';
 import type { Frame } from '../wire/frame.js';
 
 export type Relays = readonly string[];
--- a/src/news/voucher.ts
+++ b/src/news/voucher.ts
@@ -2,9 +2,9 @@
 // under before, by a relay that lags or a peer that is cut off. So it serves only once its view is vouched
 // for: by word that left the primary after this start and names that very view, or by the other half of its
 // own machine, which holds at least what this half ever had. What came to be vouched for stays so.
-import { Moment } from '../kinds/moment.js';
-import { Phase } from '../kinds/phase.js';
-import { Stamp } from '../kinds/stamp.js';
+import { Instant } from '../common/instant.js';
+import { Stamp } from '../common/stamp.js';
+import { StateMachine } from '../common/state-machine.js';
 import type { Feed } from './feed.js';
 
 export type Voucher = {
@@ -15,8 +15,8 @@
 
 export const Voucher = {
   of(feed: Feed, onVouched: () => void): Voucher {
-    const began = Moment.now();
-    const phase = Phase.of('waiting', { waiting: ['vouched'], vouched: [] }, onVouched);
+    const began = Instant.now();
+    const phase = StateMachine.of('waiting', { waiting: ['vouched'], vouched: [] }, onVouched);
     let promised: Stamp | undefined;
     const look = () => {
       if (phase.is('vouched') || !feed.view().manifest) return;
--- a/src/proxy/call.ts
+++ b/src/proxy/call.ts
@@ -1,7 +1,7 @@
 /** One request of a caller on its way through the filters, and what they have found out about it so far. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import type { Ident } from '../kinds/ident.js';
-import type { Moment } from '../kinds/moment.js';
+import type { Id } from '../common/id.js';
+import type { Instant } from '../common/instant.js';
 import type { Compiled } from '../manifest/compiled.js';
 import type { Document } from '../manifest/document.js';
 import type { Wall } from '../manifest/wall.js';
@@ -11,8 +11,8 @@
 
 /** A request and what is known of it. */
 export type Call = {
-  readonly id: Ident.Request;
-  readonly arrived: Moment;
+  readonly id: Id.Request;
+  readonly arrived: Instant;
   readonly incoming: IncomingMessage;
   readonly outgoing: ServerResponse;
   readonly method: string;
@@ -31,8 +31,8 @@
   like?: readonly Compiled.Rule[];
   rule?: Compiled.Rule;
   timeouts?: Document.Timeouts;
-  regions?: readonly Ident.Region[];
-  deadline?: Moment;
+  regions?: readonly Id.Region[];
+  deadline?: Instant;
   /** Gives back what the call was charged. */
   refund?: () => void;
   verdict?: Tries;
--- a/src/proxy/departures.ts
+++ b/src/proxy/departures.ts
@@ -1,7 +1,7 @@
 // Servers that a core without a primary saw leaving. They get nothing new until a primary renews the list, which is
 // then what counts, or until nobody has said so again for a while.
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import type { View } from '../manifest/view.js';
 
 export type Departures = {
@@ -16,15 +16,15 @@
 
 export const Departures = {
   of(needs: { readonly serial: () => number; readonly onChange: () => void }): Departures {
-    const until = new Map<string, Moment>();
+    const until = new Map<string, Instant>();
     let serial = 0;
-    const forget = (isOver: (end: Moment) => boolean): boolean => {
+    const forget = (isOver: (end: Instant) => boolean): boolean => {
       const before = until.size;
       for (const [instance, end] of until) if (isOver(end)) until.delete(instance);
       return until.size < before;
     };
     const late = Timer.after(keptFor, () => {
-      if (forget(Moment.isPast)) needs.onChange();
+      if (forget(Instant.isPast)) needs.onChange();
     });
     late.stop();
     return {
@@ -32,7 +32,7 @@
         if (serial !== needs.serial()) forget(() => true);
         serial = needs.serial();
         const isNew = instances.some((instance) => !until.has(instance));
-        for (const instance of instances) until.set(instance, Moment.after(keptFor));
+        for (const instance of instances) until.set(instance, Instant.after(keptFor));
         late.move(keptFor + 1);
         if (isNew) needs.onChange();
       },
--- a/src/proxy/dialect.ts
+++ b/src/proxy/dialect.ts
@@ -2,7 +2,7 @@
 // what its prompt is made of; what each try tells the server; what ties an answer to the try; and how our
 // own answers look. The product's own words are one dialect; another may be handed in at start.
 import type { IncomingHttpHeaders } from 'node:http';
-import { Ident } from '../kinds/ident.js';
+import { Id } from '../common/id.js';
 import type { Compiled } from '../manifest/compiled.js';
 import type { Tie } from '../upstream/tie.js';
 
@@ -31,7 +31,7 @@
 export declare namespace Dialect {
   type Part = { readonly key: string; readonly tokens: number };
   type Asked = {
-    readonly id: Ident.Request;
+    readonly id: Id.Request;
     /** The id in the caller's own words, as servers get it. */
     readonly sent: string | undefined;
     readonly left: number | undefined;
@@ -82,7 +82,7 @@
   endsAnswers: false,
   promises: new Set([503]),
   read: (headers) => ({
-    id: Ident.request(),
+    id: Id.request(),
     sent: undefined,
     left: undefined,
     model: undefined,
--- a/src/proxy/filters/admit.ts
+++ b/src/proxy/filters/admit.ts
@@ -3,8 +3,8 @@
  * the rules that could match, within their deadline.
  */
 import type { IncomingMessage } from 'node:http';
-import { Moment } from '../../kinds/moment.js';
-import { Timer } from '../../kinds/timer.js';
+import { Instant } from '../../common/instant.js';
+import { Timer } from '../../common/timer.js';
 import type { Compiled } from '../../manifest/compiled.js';
 import type { Call } from '../call.js';
 import type { Filter } from '../filter.js';
@@ -27,7 +27,7 @@
     .replace(/:\d+$/, '')
     .toLowerCase();
 
-const readBody = (incoming: IncomingMessage, longest: number, until: Moment): Promise<Buffer | Bad> =>
+const readBody = (incoming: IncomingMessage, longest: number, until: Instant): Promise<Buffer | Bad> =>
   new Promise((resolve) => {
     if (Number(incoming.headers['content-length'] ?? 0) > longest) return resolve('long');
     const chunks: Buffer[] = [];
@@ -37,7 +37,7 @@
       if (typeof how === 'string') incoming.pause();
       resolve(how);
     };
-    const late = Timer.after(Moment.left(until), () => finish('late'));
+    const late = Timer.after(Instant.left(until), () => finish('late'));
     incoming.on('data', (chunk: Buffer) => {
       length += chunk.length;
       if (length > longest) finish('long');
@@ -106,10 +106,10 @@
 const takeBody = async (call: Call, like: readonly Compiled.Rule[]): Promise<Filter.Step> => {
   const longest = Math.max(...like.map((rule) => rule.body));
   const total = Math.min(
-    call.asked.left ?? Moment.never,
+    call.asked.left ?? Instant.never,
     Math.max(...like.map((rule) => rule.timeouts.total)),
   );
-  const body = await readBody(call.incoming, longest, Moment.after(total, call.arrived));
+  const body = await readBody(call.incoming, longest, Instant.after(total, call.arrived));
   if (body === 'long') return Responses.refuse(call, Responses.bodyTooLong(longest));
   if (typeof body === 'string') return Responses.refuse(call, tooSlow);
   call.body = body;
--- a/src/proxy/filters/attempt.ts
+++ b/src/proxy/filters/attempt.ts
@@ -1,6 +1,6 @@
 /** Pick and try: gives the call to the upstream layer and keeps the verdict for the commit. */
-import type { Ident } from '../../kinds/ident.js';
-import { Moment } from '../../kinds/moment.js';
+import type { Id } from '../../common/id.js';
+import { Instant } from '../../common/instant.js';
 import type { Compiled } from '../../manifest/compiled.js';
 import { Wall } from '../../manifest/wall.js';
 import type { Connection } from '../../upstream/connection.js';
@@ -70,8 +70,8 @@
   /** Connections that carried an earlier try: an answer to that one may still come there. */
   private readonly used = new Set<Connection>();
   private readonly rule: Compiled.Rule;
-  private readonly regions: readonly Ident.Region[];
-  private readonly deadline: Moment;
+  private readonly regions: readonly Id.Region[];
+  private readonly deadline: Instant;
   private readonly compiled: Compiled;
   private readonly want: Placement.Want;
 
@@ -155,17 +155,17 @@
     this.tried.push(instance);
     const placed = needs.placement.sent(pick.server, pick.group, want);
     const place = needs.warmup.enter(instance);
-    let sentAt = Moment.now();
+    let sentAt = Instant.now();
     const trial = await Trial.run(pick, {
       ...this.trialNeeds(pick),
       request: (left) => buildRequest(call, { pick, step: tier.step, left, hops, after }),
       weight: rule.aim === undefined ? (call.body?.length ?? 0) : placed.uncached,
       onSend() {
-        sentAt = Moment.now();
+        sentAt = Instant.now();
         place.sent();
       },
     }).finally(place.leave);
-    if (trial.kind === 'stream') placed.answered(Moment.since(sentAt));
+    if (trial.kind === 'stream') placed.answered(Instant.since(sentAt));
     return trial;
   }
 
--- a/src/proxy/filters/commit.ts
+++ b/src/proxy/filters/commit.ts
@@ -1,7 +1,7 @@
 /** Commit: the last filter. It answers with what the tries came to: a server's answer, or a refusal of our own. */
 import { match } from 'ts-pattern';
-import { Moment } from '../../kinds/moment.js';
-import { Stamp } from '../../kinds/stamp.js';
+import { Instant } from '../../common/instant.js';
+import { Stamp } from '../../common/stamp.js';
 import type { Trial } from '../../upstream/trial.js';
 import type { Tries } from '../../upstream/tries.js';
 import { Call } from '../call.js';
@@ -83,7 +83,7 @@
     count(needs, call, 'client_left');
     return 'answered';
   }
-  needs.meters.firstByte.observe({ rule: Call.need(call, 'rule').name }, Moment.since(call.arrived) / 1000);
+  needs.meters.firstByte.observe({ rule: Call.need(call, 'rule').name }, Instant.since(call.arrived) / 1000);
   const how = await StreamAnswer.begin(needs, call, trial, sent, nameServer(call, trial, tries)).pass();
   count(needs, call, how === 'done' ? 'served' : `broken_by_${how}`);
   if (how !== 'done') needs.meters.breaks.inc({ side: how });
--- a/src/proxy/filters/match-rule.ts
+++ b/src/proxy/filters/match-rule.ts
@@ -2,7 +2,7 @@
  * Match rule: the first rule in order whose path, method, headers, model and teams fit takes the call. The timeouts a
  * caller asks for are taken within the rule's bounds.
  */
-import { Moment } from '../../kinds/moment.js';
+import { Instant } from '../../common/instant.js';
 import type { Compiled } from '../../manifest/compiled.js';
 import type { Document } from '../../manifest/document.js';
 import { Call } from '../call.js';
@@ -60,7 +60,7 @@
     if (rule.isShared) call.wall = call.compiled?.walls?.shared();
     call.timeouts = timeouts;
     const left = Math.min(timeouts.total, call.asked.left ?? timeouts.total);
-    call.deadline = Moment.after(left, call.arrived);
+    call.deadline = Instant.after(left, call.arrived);
     return 'next';
   },
 };
--- a/src/proxy/first-manifest.ts
+++ b/src/proxy/first-manifest.ts
@@ -1,8 +1,8 @@
 // Requests that come to a proxy which has just started and holds no manifest yet. Most often one is on its way, so
 // they wait for it a moment: never longer than a quarter of the time their client has, and only in the first
 // moments of this process. Who waited in vain is refused then, and whoever comes after those moments at once.
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 
 export type FirstManifest = {
   readonly came: () => void;
@@ -14,7 +14,7 @@
 
 export const FirstManifest = {
   of(): FirstManifest {
-    const began = Moment.now();
+    const began = Instant.now();
     const waiting = new Set<() => void>();
     let hasCome = false;
     return {
@@ -24,7 +24,7 @@
       },
       wait: (left = Number.POSITIVE_INFINITY) =>
         new Promise((resolve) => {
-          const span = Math.min(longest, left / 4, hopefulFor - Moment.since(began));
+          const span = Math.min(longest, left / 4, hopefulFor - Instant.since(began));
           if (hasCome || span <= 0) return resolve();
           const goOn = () => {
             waiting.delete(goOn);
--- a/src/proxy/meters.ts
+++ b/src/proxy/meters.ts
@@ -1,5 +1,5 @@
 // What a proxy counts of its calls.
-import type { Stamp } from '../kinds/stamp.js';
+import type { Stamp } from '../common/stamp.js';
 import { Metrics } from '../startup/metrics.js';
 
 export type Meters = ReturnType<typeof Meters.of>;
--- a/src/proxy/most-proxies.ts
+++ b/src/proxy/most-proxies.ts
@@ -1,5 +1,5 @@
 /** How many proxies this one knew of: the most ever, and the most within a span up to now. */
-import { Moment } from '../kinds/moment.js';
+import { Instant } from '../common/instant.js';
 
 export type MostProxies = {
   readonly see: (count: number) => void;
@@ -9,14 +9,14 @@
 
 export const MostProxies = {
   of(): MostProxies {
-    const seenAt = new Map<number, Moment>();
+    const seenAt = new Map<number, Instant>();
     const known = () => [...seenAt.keys()];
     return {
       see(count) {
-        seenAt.set(count, Moment.now());
+        seenAt.set(count, Instant.now());
       },
       ever: () => Math.max(1, ...known()),
-      within: (span) => Math.max(1, ...known().filter((count) => Moment.since(seenAt.get(count)!) <= span)),
+      within: (span) => Math.max(1, ...known().filter((count) => Instant.since(seenAt.get(count)!) <= span)),
     };
   },
 };
--- a/src/proxy/program.ts
+++ b/src/proxy/program.ts
@@ -1,12 +1,12 @@
 // The proxy as a program: the callers' port, the operations port, and the session with its agent over
 // loopback. It serves on under its last manifest when the agent or the control plane is gone.
-import { Address } from '../kinds/address.js';
-import { Failure } from '../kinds/failure.js';
-import { Ident } from '../kinds/ident.js';
-import { Listen } from '../kinds/listen.js';
-import { Stamp } from '../kinds/stamp.js';
-import { Timer } from '../kinds/timer.js';
-import type { Ring } from '../log/ring.js';
+import { Address } from '../common/address.js';
+import { Failure } from '../common/failure.js';
+import { Id } from '../common/id.js';
+import { Listen } from '../common/listen.js';
+import { Stamp } from '../common/stamp.js';
+import { Timer } from '../common/timer.js';
+import type { LogBuffer } from '../log/log-buffer.js';
 import { Compiled } from '../manifest/compiled.js';
 import { Roll } from '../membership/roll.js';
 import { Uplink } from '../membership/uplink.js';
@@ -41,7 +41,7 @@
   /** With `join` the agent is in this process, and the address given for it only names it. */
   readonly start: (
     startup: Startup['proxy'],
-    ring: Ring,
+    ring: LogBuffer,
     dialect?: Dialect,
     join?: (terms: Link.Terms) => Link,
   ) => Promise<Program>;
@@ -82,7 +82,7 @@
     const inFlight = InFlight.of();
     const stall = Stall.of();
     const firstManifest = FirstManifest.of();
-    const boot = Ident.boot();
+    const boot = Id.boot();
     let active = 0;
     let isDraining = false;
     let compiled: Compiled | undefined;
--- a/src/proxy/quotas.ts
+++ b/src/proxy/quotas.ts
@@ -6,9 +6,10 @@
 // others too. For requests that wait it asks at once and together, only of their teams. A holder that asks for all, or
 // did not answer, is told all again at once, for a new one listens but a short while; one that knows no such words, always.
 // With each team goes how many proxies this one knew within the span, since a new holder may not know them all.
+
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import { Ledger } from '../duty/ledger.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
 import type { Compiled } from '../manifest/compiled.js';
 import type { Document } from '../manifest/document.js';
 import type { Frame } from '../wire/frame.js';
@@ -45,11 +46,11 @@
   readonly ledger: Ledger;
   readonly span: number;
   holds: Ledger.Work;
-  until: Moment;
+  until: Instant;
   readonly waiting: Set<Ledger.Work>;
   lately: Ledger.Work;
-  touched: Moment;
-  chargedAt: Moment;
+  touched: Instant;
+  chargedAt: Instant;
   isSteady: boolean;
   believed: Ledger.Work | undefined;
 };
@@ -58,7 +59,7 @@
   readonly serial: number;
   told: Told;
   isNoted: boolean;
-  readonly at: Moment;
+  readonly at: Instant;
   readonly answered: Promise<boolean>;
   readonly settle: (isAnswered: boolean) => void;
   readonly stopWaiting: () => void;
@@ -82,7 +83,7 @@
     serial,
     told: new Map(),
     isNoted: false,
-    at: Moment.now(),
+    at: Instant.now(),
     answered,
     settle,
     stopWaiting: late.stop,
@@ -96,26 +97,26 @@
     let serial = 0;
     const most = MostProxies.of();
     let epoch = 0;
-    const started = Moment.now();
-    const isYoung = () => Moment.since(started) < youngFor;
+    const started = Instant.now();
+    const isYoung = () => Instant.since(started) < youngFor;
     let open: Question | undefined;
     let isDue = false;
     let isKnown = false;
     const accountOf = (team: string, { span }: Document.Quota): Account => {
       const known = accounts.get(team);
       if (known?.span === span) {
-        known.touched = Moment.now();
+        known.touched = Instant.now();
         return known;
       }
       const made = {
         ledger: Ledger.of(span),
         span,
         holds: Ledger.none,
-        until: Moment.past,
+        until: Instant.past,
         waiting: new Set<Ledger.Work>(),
         lately: Ledger.none,
-        touched: Moment.now(),
-        chargedAt: Moment.past,
+        touched: Instant.now(),
+        chargedAt: Instant.past,
         isSteady: false,
         believed: undefined,
       };
@@ -123,7 +124,7 @@
       return made;
     };
     const holdsOf = (account: Account): Ledger.Work =>
-      Moment.isPast(account.until) ? Ledger.none : account.holds;
+      Instant.isPast(account.until) ? Ledger.none : account.holds;
     const spokenOf = (account: Account) => Ledger.sum(account.ledger.total(), holdsOf(account));
     const isToTell = (account: Account): boolean =>
       !isKnown ||
@@ -153,7 +154,7 @@
       team,
       used: account.ledger.total(),
       holds: holdsOf(account),
-      wanted: Moment.since(account.chargedAt) < grantFor ? account.lately : Ledger.none,
+      wanted: Instant.since(account.chargedAt) < grantFor ? account.lately : Ledger.none,
       must: [...account.waiting].reduce(Ledger.sum, Ledger.none),
       proxies: most.within(account.span + grantFor),
     });
@@ -191,8 +192,8 @@
     };
     const charge = (account: Account, work: Ledger.Work): Quotas.Verdict => {
       account.lately = Ledger.sum(account.lately, work);
-      account.isSteady = Moment.since(account.chargedAt) < grantFor;
-      account.chargedAt = Moment.now();
+      account.isSteady = Instant.since(account.chargedAt) < grantFor;
+      account.chargedAt = Instant.now();
       return { kind: 'in', undo: account.ledger.add(work) };
     };
     const spend = (account: Account, work: Ledger.Work): Quotas.Verdict | undefined => {
@@ -215,10 +216,10 @@
         if (!quota) return { kind: 'in', undo: () => {} };
         const work = { requests: 1, prompt };
         const account = accountOf(name, quota);
-        const asked = Moment.now();
+        const asked = Instant.now();
         let isAnswered = true;
         const mayAsk = (round: number) =>
-          (round < 2 && isAnswered) || (!isAnswered && isYoung() && Moment.since(asked) < waitWhileYoung);
+          (round < 2 && isAnswered) || (!isAnswered && isYoung() && Instant.since(asked) < waitWhileYoung);
         account.waiting.add(work);
         try {
           for (let round = 0; mayAsk(round); round += 1) {
@@ -257,7 +258,7 @@
           const account = accounts.get(team);
           if (!account) continue;
           account.holds = Ledger.sum(holdsOf(account), { requests, prompt });
-          account.until = Moment.after(grantFor, open.at);
+          account.until = Instant.after(grantFor, open.at);
           const told = open.told.get(team);
           account.believed = told && Ledger.sum(told.spoken, { requests, prompt });
         }
@@ -272,7 +273,7 @@
         most.see(needs.proxies());
         for (const [team, account] of accounts) {
           const isTold = !isKnown || isEqual(Ledger.none, account.believed);
-          if (Moment.since(account.touched) > 2 * account.span && isTold) accounts.delete(team);
+          if (Instant.since(account.touched) > 2 * account.span && isTold) accounts.delete(team);
         }
         if (accounts.size === 0) return;
         isDue = true;
--- a/src/proxy/ready.ts
+++ b/src/proxy/ready.ts
@@ -2,7 +2,7 @@
  * When a proxy may be sent callers: it has a configuration in force, and it knows which servers there are. A list that
  * is known and empty is knowledge too; one that doesn't come is not waited for longer than a bound.
  */
-import { Moment } from '../kinds/moment.js';
+import { Instant } from '../common/instant.js';
 import type { Compiled } from '../manifest/compiled.js';
 
 /** Tells whether callers may come. */
@@ -27,8 +27,8 @@
 export const Ready = {
   longestWait,
   of({ zone, isDraining, compiled, listSerial }: Ready.Needs): Ready {
-    const began = Moment.now();
-    const isListMissing = () => listSerial() === 0 && Moment.since(began) < longestWait;
+    const began = Instant.now();
+    const isListMissing = () => listSerial() === 0 && Instant.since(began) < longestWait;
     return {
       reason() {
         if (isDraining()) return 'draining';
--- a/src/proxy/responses.ts
+++ b/src/proxy/responses.ts
@@ -2,7 +2,7 @@
  * Our own answers, OpenAI-style. Each carries the request's id and says whether the request ran: no means it did not and
  * never will; unknown means that it may have.
  */
-import { Stamp } from '../kinds/stamp.js';
+import { Stamp } from '../common/stamp.js';
 import type { Call } from './call.js';
 
 /** An answer of this proxy's own. */
--- a/src/proxy/server.ts
+++ b/src/proxy/server.ts
@@ -4,8 +4,8 @@
  * under another bound of its head ends behind its next answer, since its parser keeps the old one.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
 import type { Document } from '../manifest/document.js';
 import type { Call } from './call.js';
 import type { Filter } from './filter.js';
@@ -83,7 +83,7 @@
   const asked = dialect.read(incoming.headers);
   return {
     id: asked.id,
-    arrived: Moment.now(),
+    arrived: Instant.now(),
     incoming,
     outgoing,
     method: incoming.method ?? 'GET',
--- a/src/proxy/stall.ts
+++ b/src/proxy/stall.ts
@@ -2,8 +2,8 @@
 // what happened meanwhile (a client that left, timers that rang) is still waiting to be handled, so
 // sending first lets the loop turn until it has been; also when the beat was the first to be handled.
 
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 
 export type Stall = { readonly settle: () => Promise<void>; readonly stop: () => void };
 
@@ -16,7 +16,7 @@
 
 export const Stall = {
   of(): Stall {
-    let last = Moment.now();
+    let last = Instant.now();
     let hasJustWoken = false;
     const wake = async () => {
       hasJustWoken = true;
@@ -24,13 +24,13 @@
       hasJustWoken = false;
     };
     const beats = Timer.every(beat, () => {
-      if (Moment.since(last) >= gap) void wake();
-      last = Moment.now();
+      if (Instant.since(last) >= gap) void wake();
+      last = Instant.now();
     });
     return {
       stop: () => beats.stop(),
       async settle() {
-        if (hasJustWoken || Moment.since(last) >= gap) await turns();
+        if (hasJustWoken || Instant.since(last) >= gap) await turns();
       },
     };
   },
--- a/src/proxy/stream-answer.ts
+++ b/src/proxy/stream-answer.ts
@@ -5,7 +5,7 @@
  * connection abruptly, so that a broken one can never be taken for a whole one.
  */
 import type { ServerResponse } from 'node:http';
-import { Moment } from '../kinds/moment.js';
+import { Instant } from '../common/instant.js';
 import { Suspicion } from '../upstream/suspicion.js';
 import type { Trial } from '../upstream/trial.js';
 import { Call } from './call.js';
@@ -57,7 +57,7 @@
     this.events = rule.isResumable && isStream ? Events.of(call.asked.after) : undefined;
     this.spans = {
       idle: Call.need(call, 'timeouts').idle,
-      until: call.dialect.endsAnswers ? Moment.after(lateness, Call.need(call, 'deadline')) : undefined,
+      until: call.dialect.endsAnswers ? Instant.after(lateness, Call.need(call, 'deadline')) : undefined,
       suspectAfter: isStream ? Suspicion.pauseAfter(rule.gap) : undefined,
     };
     this.writeHead(named);
--- a/src/proxy/stream-pump.ts
+++ b/src/proxy/stream-pump.ts
@@ -3,9 +3,9 @@
  * the server falls silent, when the time of the request is over and when the caller leaves, and tells how it ended.
  */
 import type { ServerResponse } from 'node:http';
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import type { Exchange } from '../upstream/exchange.js';
 import type { Chunks } from './chunks.js';
 import type { Events } from './events.js';
@@ -17,7 +17,7 @@
   type Spans = {
     /** The longest silence of a server, in milliseconds. */
     readonly idle: number;
-    readonly until: Moment | undefined;
+    readonly until: Instant | undefined;
     /** How long a pause makes the server suspect, in milliseconds; undefined where none does. */
     readonly suspectAfter: number | undefined;
   };
@@ -42,7 +42,7 @@
   private isEnded = false;
   private isLate = false;
   private isCorked = false;
-  private last: Moment | undefined;
+  private last: Instant | undefined;
   private readonly quiet: Timer | undefined;
   private readonly late: Timer | undefined;
   private readonly suspicion: Timer | undefined;
@@ -54,7 +54,7 @@
   ) {
     const { spans, watch } = terms;
     const { idle, until, suspectAfter } = spans;
-    const left = until === undefined ? Moment.never : Moment.left(until);
+    const left = until === undefined ? Instant.never : Instant.left(until);
     if (until !== undefined) this.late = Timer.after(left, this.onLate);
     // A silence that would outlast the time of the request is ended by that.
     if (idle < left) this.quiet = Timer.after(idle, this.onQuiet);
@@ -71,7 +71,7 @@
 
   write(chunk: Buffer): boolean {
     const { watch, events, chunks } = this.terms;
-    const now = Moment.now();
+    const now = Instant.now();
     this.quiet?.again();
     this.suspicion?.again();
     if (this.last !== undefined) watch.onEvent(now - this.last);
--- a/src/repair/copies.ts
+++ b/src/repair/copies.ts
@@ -2,7 +2,7 @@
 // both ends know it: made once for each view however many children ask. What is small is compressed at once.
 import { promisify } from 'node:util';
 import { deflate, deflateSync, inflateSync } from 'node:zlib';
-import { Failure } from '../kinds/failure.js';
+import { Failure } from '../common/failure.js';
 import { View } from '../manifest/view.js';
 import type { Chunks } from './chunks.js';
 import { Ranges } from './ranges.js';
--- a/src/repair/ranges.ts
+++ b/src/repair/ranges.ts
@@ -3,7 +3,7 @@
 // a digest over all ranges in order: a copy put together from ranges is taken only when its seal is the one that
 // came with them.
 import { createHash } from 'node:crypto';
-import { Failure } from '../kinds/failure.js';
+import { Failure } from '../common/failure.js';
 import type { View } from '../manifest/view.js';
 import { Chunks } from './chunks.js';
 
--- a/src/replica/acknowledgement.ts
+++ b/src/replica/acknowledgement.ts
@@ -1,7 +1,7 @@
 // The acknowledged state and the only ways to another one: a change that all in sync have synced, or what an
 // earlier change has left on the own disk unconfirmed. Run in the primary's queue, one at a time.
-import { Failure } from '../kinds/failure.js';
-import { Timer } from '../kinds/timer.js';
+import { Failure } from '../common/failure.js';
+import { Timer } from '../common/timer.js';
 import { State } from '../store/state.js';
 import type { Store } from '../store/store.js';
 import type { ChangeLog } from './change-log.js';
--- a/src/replica/assembly.ts
+++ b/src/replica/assembly.ts
@@ -1,7 +1,7 @@
 // The receiver's part of a transfer: pieces put together in memory, in order, each checked by its own digest and
 // all of them by the digest of the whole. It outlives the link, so that a transfer goes on where it stopped.
 import { createHash, type Hash } from 'node:crypto';
-import { Stamp } from '../kinds/stamp.js';
+import { Stamp } from '../common/stamp.js';
 import { Frame } from '../wire/frame.js';
 
 /** At most one transfer under way, the newest one offered. */
--- a/src/replica/backup.ts
+++ b/src/replica/backup.ts
@@ -2,11 +2,12 @@
 // from below the epoch promised. The epoch is looked at again after the sync, so that nothing is confirmed to a
 // primary that lost its place meanwhile. A whole state older than the one held was held up on its way: it is
 // refused, for the primary may count on what came after it. Only synced states are told as held.
+
+import { Epoch } from '../common/epoch.js';
+import { Failure } from '../common/failure.js';
+import { Mutex } from '../common/mutex.js';
+import { Stamp } from '../common/stamp.js';
 import type { Register } from '../epoch/register.js';
-import { Epoch } from '../kinds/epoch.js';
-import { Failure } from '../kinds/failure.js';
-import { Stamp } from '../kinds/stamp.js';
-import { Turns } from '../kinds/turns.js';
 import type { State } from '../store/state.js';
 import { Store } from '../store/store.js';
 import type { Frame } from '../wire/frame.js';
@@ -53,7 +54,7 @@
 
 /** Writes to the store, one at a time, and whether one is under way. */
 const writerOf = (store: Store) => {
-  const turns = Turns.of();
+  const turns = Mutex.of();
   let writes = 0;
   return {
     isWriting: () => writes > 0,
--- a/src/replica/catch-up.ts
+++ b/src/replica/catch-up.ts
@@ -1,9 +1,9 @@
 // Keeps every member near the acknowledged state, also those that are not in sync, beside the commits and holding
 // none of them up: a member that returns is brought to the newest state, and one that is recruited in place of a
 // lost backup lacks little. Only acknowledged states go out from here.
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import type { State } from '../store/state.js';
 import type { Frame } from '../wire/frame.js';
 import type { Followers } from './followers.js';
@@ -28,12 +28,12 @@
   }): CatchUp {
     const { leadership, followers } = needs;
     const underWay = new Set<string>();
-    const failures = new Map<string, { readonly at: Moment; readonly why: string }>();
+    const failures = new Map<string, { readonly at: Instant; readonly why: string }>();
     const others = () => leadership.term().cores.filter(({ disk }) => disk !== leadership.disk);
     const mayTry = (core: Frame.Core, state: State) =>
       followers.downFor(core) === 0 &&
       !underWay.has(core.disk) &&
-      Moment.since(failures.get(core.disk)?.at ?? Moment.past) > tryAgainAfter &&
+      Instant.since(failures.get(core.disk)?.at ?? Instant.past) > tryAgainAfter &&
       followers.knowsTransfers(core) &&
       !followers.hasConfirmed(core, state.stamp);
     const bring = async (core: Frame.Core, state: State) => {
@@ -45,7 +45,7 @@
         const why = Failure.text(error);
         if (failures.get(core.disk)?.why !== why && leadership.isLeading())
           needs.note('member does not catch up', { node: core.node, why });
-        failures.set(core.disk, { at: Moment.now(), why });
+        failures.set(core.disk, { at: Instant.now(), why });
       } finally {
         underWay.delete(core.disk);
       }
--- a/src/replica/change-log.ts
+++ b/src/replica/change-log.ts
@@ -1,6 +1,6 @@
 // The newest changes that the primary took into its own store, as records in their order: what a member that is
 // a little behind is sent instead of a whole state. It is bounded; a member further behind gets a snapshot.
-import { Stamp } from '../kinds/stamp.js';
+import { Stamp } from '../common/stamp.js';
 import type { State } from '../store/state.js';
 import { Store } from '../store/store.js';
 
--- a/src/replica/confirmation.ts
+++ b/src/replica/confirmation.ts
@@ -1,8 +1,9 @@
 // A primary's contact with a majority of the cores: asked for steadily, and before every answer. The age of the
 // last confirmation counts from the moment at which it was asked for.
+
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import type { Proposer } from '../epoch/proposer.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
 import type { Leadership } from './leadership.js';
 
 /** Confirmation of the term by a majority. */
@@ -10,7 +11,7 @@
   /** Whether a majority confirms the term now. */
   readonly confirm: () => Promise<boolean>;
   /** When the newest confirmation was asked for. */
-  readonly confirmedAt: () => Moment;
+  readonly confirmedAt: () => Instant;
 };
 
 const confirmEvery = 200;
@@ -18,9 +19,9 @@
 export const Confirmation = {
   /** Asks every 200 ms until the leadership ends. */
   begin(leadership: Leadership, proposer: Proposer): Confirmation {
-    let confirmedAt = Moment.past;
+    let confirmedAt = Instant.past;
     const confirm = async (): Promise<boolean> => {
-      const asked = Moment.now();
+      const asked = Instant.now();
       const isConfirmed = await proposer.confirm(leadership.term());
       if (isConfirmed && leadership.isLeading() && asked > confirmedAt) confirmedAt = asked;
       return isConfirmed;
--- a/src/replica/follower.ts
+++ b/src/replica/follower.ts
@@ -2,11 +2,11 @@
 // one frame where it stands just before it, else a transfer in pieces, one under way at a time. Each exchange has a
 // short bound of its own and is judged by the progress it told; a transfer goes on where it stopped, also over
 // a new link. A confirmation counts under the epoch that it was asked for under.
-import { Epoch } from '../kinds/epoch.js';
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
-import { Stamp } from '../kinds/stamp.js';
-import { Timer } from '../kinds/timer.js';
+import { Epoch } from '../common/epoch.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
+import { Stamp } from '../common/stamp.js';
+import { Timer } from '../common/timer.js';
 import type { State } from '../store/state.js';
 import type { Frame } from '../wire/frame.js';
 import { Protocol } from '../wire/protocol.js';
@@ -100,7 +100,7 @@
 const stepsOf = ({ core, leadership, calls, source }: Follower.Needs, known: Knowledge) => {
   let payload: Payload | undefined;
   let offset = 0;
-  let writingSince: Moment | undefined;
+  let writingSince: Instant | undefined;
   const epoch = () => leadership.term().epoch;
   const refuse = (why: string): never => {
     payload = undefined;
@@ -124,8 +124,9 @@
       writingSince = undefined;
       return;
     }
-    writingSince ??= Moment.now();
-    if (Moment.since(writingSince) > hungAfter) throw Failure.of('store', `the disk of ${core().node} hangs`);
+    writingSince ??= Instant.now();
+    if (Instant.since(writingSince) > hungAfter)
+      throw Failure.of('store', `the disk of ${core().node} hangs`);
     known.forget();
     await Timer.pause(lookAgainAfter);
   };
--- a/src/replica/followers.ts
+++ b/src/replica/followers.ts
@@ -1,9 +1,9 @@
 // The other members as the primary replicates to them: one follower for each disk, made when it is first wanted.
-import type { Epoch } from '../kinds/epoch.js';
-import { Stamp } from '../kinds/stamp.js';
+import type { Epoch } from '../common/epoch.js';
+import { Stamp } from '../common/stamp.js';
 import type { State } from '../store/state.js';
-import type { Courier } from '../wire/courier.js';
 import type { Frame } from '../wire/frame.js';
+import type { PeerClient } from '../wire/peer-client.js';
 import { Protocol } from '../wire/protocol.js';
 import { Follower } from './follower.js';
 import type { Leadership } from './leadership.js';
@@ -29,7 +29,7 @@
 export const Followers = {
   of(needs: {
     readonly leadership: Leadership;
-    readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
     readonly source: TransferSource;
     /** The state held when the leadership began: the backups in sync are taken to hold it until they tell. */
     readonly first: Stamp;
--- a/src/replica/hand-over.ts
+++ b/src/replica/hand-over.ts
@@ -1,10 +1,11 @@
 // A primary whose own disk fails or stalls hands its place over: its backups are asked to take it, and it is
 // deposed at once. One that is about to end asks one backup after the other, and leads on until one has taken over.
+
+import { Failure } from '../common/failure.js';
+import { Timer } from '../common/timer.js';
 import { Term } from '../epoch/term.js';
-import { Failure } from '../kinds/failure.js';
-import { Timer } from '../kinds/timer.js';
-import type { Courier } from '../wire/courier.js';
 import type { Frame } from '../wire/frame.js';
+import type { PeerClient } from '../wire/peer-client.js';
 import type { Leadership } from './leadership.js';
 
 /** Hands the place over because of a failure of the own disk; always throws `unconfirmed`. */
@@ -18,7 +19,7 @@
   /** Asks the backups in their order to take over; resolves with the reason where none did. */
   async byRequest(needs: {
     readonly leadership: Leadership;
-    readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
   }): Promise<string> {
     const { leadership } = needs;
     const { epoch } = leadership.term();
@@ -35,7 +36,7 @@
   },
   of(needs: {
     readonly leadership: Leadership;
-    readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   }): HandOver {
     const { leadership } = needs;
--- a/src/replica/leadership.ts
+++ b/src/replica/leadership.ts
@@ -1,10 +1,11 @@
 // The record of one core's time as primary: the term it leads under and the ballot that chose it, whether the
 // outcome of its last change of the register is known, the highest epoch that a backup told of, and its end.
+
+import { Epoch } from '../common/epoch.js';
+import { Failure } from '../common/failure.js';
+import { StateMachine } from '../common/state-machine.js';
 import type { Ballot } from '../epoch/ballot.js';
 import type { Term } from '../epoch/term.js';
-import { Epoch } from '../kinds/epoch.js';
-import { Failure } from '../kinds/failure.js';
-import { Phase } from '../kinds/phase.js';
 
 /** What a primary knows of its own leadership, with one function for each way in which that may change. */
 export type Leadership = {
@@ -39,7 +40,7 @@
 export const Leadership = {
   /** A leadership that begins under a term which the register has just chosen. */
   of(disk: string, chosen: Term, chosenBy: Ballot): Leadership {
-    const phase = Phase.of('leading', { leading: ['deposed'], deposed: [] });
+    const phase = StateMachine.of('leading', { leading: ['deposed'], deposed: [] });
     let term = chosen;
     let ballot = chosenBy;
     let isUnsure = false;
--- a/src/replica/maintenance.ts
+++ b/src/replica/maintenance.ts
@@ -1,6 +1,6 @@
 // The primary's care for its in-sync set between commits: a backup that is gone is replaced as soon as another
 // core can take its place, and a broken disk of its own ends the leadership.
-import type { Turns } from '../kinds/turns.js';
+import type { Mutex } from '../common/mutex.js';
 import type { Store } from '../store/store.js';
 import type { Frame } from '../wire/frame.js';
 import type { Acknowledgement } from './acknowledgement.js';
@@ -12,7 +12,7 @@
 /** Work between commits, in the queue that commits run in. */
 export type Maintenance = {
   /** One look; the in-sync set is left alone while the leadership is not open yet. */
-  readonly run: (turns: Turns, isOpen: boolean) => Promise<void>;
+  readonly run: (turns: Mutex, isOpen: boolean) => Promise<void>;
   /** Tries once to bring the acknowledged state to enough others that the in-sync set is whole. */
   readonly replaceBackups: () => Promise<void>;
 };
--- a/src/replica/member-calls.ts
+++ b/src/replica/member-calls.ts
@@ -1,10 +1,10 @@
 // The primary's calls to one member over its courier. Each is bounded by what it carries: a fixed span and the
 // time that its bytes take over the slowest link that is borne.
-import type { Epoch } from '../kinds/epoch.js';
-import { Failure } from '../kinds/failure.js';
-import { Stamp } from '../kinds/stamp.js';
-import type { Courier } from '../wire/courier.js';
+import type { Epoch } from '../common/epoch.js';
+import { Failure } from '../common/failure.js';
+import { Stamp } from '../common/stamp.js';
 import type { Frame } from '../wire/frame.js';
+import type { PeerClient } from '../wire/peer-client.js';
 import { Protocol } from '../wire/protocol.js';
 import { Assembly } from './assembly.js';
 import type { Payload } from './payload.js';
@@ -40,17 +40,17 @@
 export const MemberCalls = {
   of(needs: {
     readonly core: () => Frame.Core;
-    readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
     readonly meter: TransferMeter | undefined;
   }): MemberCalls {
-    const courier = (): Courier => {
+    const courier = (): PeerClient => {
       const core = needs.core();
       const found = needs.courierTo(core);
       if (!found?.reaches(core)) throw Failure.of('link', `no courier to the disk of ${core.node}`);
       return found;
     };
     const unexpected = (kind: string) => Failure.of('frame', `unexpected ${kind}`);
-    const ask = (request: Parameters<Courier['ask']>[0], length: number): Promise<Frame.Reply> =>
+    const ask = (request: Parameters<PeerClient['ask']>[0], length: number): Promise<Frame.Reply> =>
       courier().ask(request, answerWithin + length / slowestLink);
     const position = async (...asked: Parameters<typeof ask>): Promise<MemberCalls.Position> => {
       const reply = await ask(...asked);
--- a/src/replica/membership-change.ts
+++ b/src/replica/membership-change.ts
@@ -3,8 +3,9 @@
 // is about to end is released in the same way, at its own request: first another one takes its place in sync, then
 // a newcomer that waits takes its slot, by one change which majorities before and after accept. Where none waits the
 // slot stays with it, for most that end are started again at once.
+
+import { Instant } from '../common/instant.js';
 import { Term } from '../epoch/term.js';
-import { Moment } from '../kinds/moment.js';
 import type { Frame } from '../wire/frame.js';
 import type { Followers } from './followers.js';
 import type { Leadership } from './leadership.js';
@@ -45,11 +46,11 @@
         .cores.filter((core) => core.disk !== leadership.disk && silentFor(core) > replaceAfter)
         .sort((a, b) => (silentFor(a) < silentFor(b) ? 1 : -1))[0];
     };
-    const waiting = new Map<string, { readonly core: Frame.Core; readonly since: Moment }>();
+    const waiting = new Map<string, { readonly core: Frame.Core; readonly since: Instant }>();
     /** Those that asked to be taken in just now and have no slot yet. */
     const newcomers = (): readonly Frame.Core[] => {
       for (const [disk, { since }] of waiting)
-        if (Moment.since(since) > waitsFor || Term.has(leadership.term(), disk)) waiting.delete(disk);
+        if (Instant.since(since) > waitsFor || Term.has(leadership.term(), disk)) waiting.delete(disk);
       return [...waiting.values()].map(({ core }) => core);
     };
     const newcomerInTouch = () => newcomers().find((core) => followers.downFor(core) === 0);
@@ -72,7 +73,7 @@
         if (Term.has(leadership.term(), joining.disk)) return '';
         const isFull = cores.length > 2 * needs.losses;
         const old = isFull ? replaceable(joining) : undefined;
-        waiting.set(joining.disk, { core: joining, since: Moment.now() });
+        waiting.set(joining.disk, { core: joining, since: Instant.now() });
         if (isFull && !old) return 'all cores are alive';
         if (old && isInSync(old)) {
           await needs.replaceBackups();
@@ -88,7 +89,7 @@
           await needs.swapOut(leaving.disk);
           if (isInSync(leaving)) return 'no other core could take the state';
         }
-        if (successor) waiting.set(successor.disk, { core: successor, since: Moment.now() });
+        if (successor) waiting.set(successor.disk, { core: successor, since: Instant.now() });
         const next = newcomerInTouch();
         if (next) return replace(leaving, next);
         return newcomers().length > 0 ? 'the newcomer that waits is not in touch yet' : '';
--- a/src/replica/payload.ts
+++ b/src/replica/payload.ts
@@ -1,7 +1,7 @@
 // What a transfer carries: a snapshot, which is one record of a whole state, or a tail, which is the records of
 // the changes since a state that the receiver holds. The digest names the payload.
-import { Failure } from '../kinds/failure.js';
-import { Stamp } from '../kinds/stamp.js';
+import { Failure } from '../common/failure.js';
+import { Stamp } from '../common/stamp.js';
 import { State } from '../store/state.js';
 import { Store } from '../store/store.js';
 import { Assembly } from './assembly.js';
--- a/src/replica/primary.ts
+++ b/src/replica/primary.ts
@@ -1,18 +1,19 @@
 // The primary: acknowledges changes of the state. A change is acknowledged once it is synced here and at every
 // other core in sync, and never by fewer disks than may be lost at once and one more. The parts of its work are
 // modules of their own; here they are put together, and run one at a time where they must not mix.
+
+import type { Instant } from '../common/instant.js';
+import { Mutex } from '../common/mutex.js';
+import { Revision } from '../common/revision.js';
+import type { Stamp } from '../common/stamp.js';
 import { Ballot } from '../epoch/ballot.js';
 import type { Proposer } from '../epoch/proposer.js';
 import { Term } from '../epoch/term.js';
 import type { Vote } from '../epoch/vote.js';
-import type { Moment } from '../kinds/moment.js';
-import { Revision } from '../kinds/revision.js';
-import type { Stamp } from '../kinds/stamp.js';
-import { Turns } from '../kinds/turns.js';
 import type { State } from '../store/state.js';
 import type { Store } from '../store/store.js';
-import type { Courier } from '../wire/courier.js';
 import type { Frame } from '../wire/frame.js';
+import type { PeerClient } from '../wire/peer-client.js';
 import { Acknowledgement } from './acknowledgement.js';
 import { CatchUp } from './catch-up.js';
 import { ChangeLog } from './change-log.js';
@@ -34,7 +35,7 @@
   /** The newest acknowledged state. */
   readonly state: () => State;
   readonly isLeading: () => boolean;
-  readonly confirmedAt: () => Moment;
+  readonly confirmedAt: () => Instant;
   /** Whether a majority confirms the term and the leadership was open when it was asked. */
   readonly confirm: () => Promise<boolean>;
   /** Makes a change under a new stamp and resolves with the acknowledged state; `make` may decline. */
@@ -72,7 +73,7 @@
     readonly losses: number;
     readonly store: Store;
     readonly proposer: Proposer;
-    readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
     readonly publish: (state: State, term: Term) => void;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
     readonly meter?: TransferMeter;
@@ -123,7 +124,7 @@
 export const Primary = {
   of(needs: Primary.Needs): Primary {
     const { leadership, termChange, followers, states, maintenance, membership } = partsOf(needs);
-    const turns = Turns.of();
+    const turns = Mutex.of();
     let isOpen = false;
     const confirmation = Confirmation.begin(leadership, needs.proposer);
     const acknowledged = () => (isOpen ? states.state() : undefined);
--- a/src/replica/replication-round.ts
+++ b/src/replica/replication-round.ts
@@ -1,8 +1,8 @@
 // One state on its way to the other cores: who was asked for it, who holds it, and who failed and when.
-import type { Epoch } from '../kinds/epoch.js';
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
-import { Signal } from '../kinds/signal.js';
+import type { Epoch } from '../common/epoch.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
+import { Latch } from '../common/latch.js';
 import type { State } from '../store/state.js';
 import type { Frame } from '../wire/frame.js';
 import type { Followers } from './followers.js';
@@ -40,13 +40,13 @@
     const { followers, state } = needs;
     const confirmed = new Map<string, Epoch>();
     const asked = new Set<string>();
-    const failedAt = new Map<string, Moment>();
-    let ended = Signal.of();
+    const failedAt = new Map<string, Instant>();
+    let ended = Latch.of();
     const offer: ReplicationRound['offer'] = (core) => {
       if (asked.has(core.disk)) return;
       asked.add(core.disk);
       const fail = (error: unknown) => {
-        failedAt.set(core.disk, Moment.now());
+        failedAt.set(core.disk, Instant.now());
         needs.note('backup did not confirm', { node: core.node, why: Failure.text(error) });
       };
       void followers
@@ -62,7 +62,7 @@
       core.disk !== needs.leaving &&
       confirmed.get(core.disk) !== epoch &&
       followers.downFor(core) === 0 &&
-      Moment.since(failedAt.get(core.disk) ?? Moment.past) > offerAgainAfter;
+      Instant.since(failedAt.get(core.disk) ?? Instant.past) > offerAgainAfter;
     return {
       leaving: needs.leaving,
       holders: (epoch) => new Set([...confirmed].flatMap(([disk, under]) => (under === epoch ? [disk] : []))),
@@ -74,7 +74,7 @@
         for (const core of cores) if (mayBeOffered(core, epoch)) offer(core);
       },
       moved(span) {
-        ended = Signal.of();
+        ended = Latch.of();
         return ended.within(span);
       },
     };
--- a/src/replica/replication.ts
+++ b/src/replica/replication.ts
@@ -2,9 +2,9 @@
 // asks anew: a backup that was brought in, and lost its disk before it was named, does not count. A backup that does not confirm in time is replaced: another core takes
 // the whole state first, then the register names it in sync in the silent one's place. A backup that has promised
 // a higher epoch takes nothing more under this one: the primary goes on above it.
-import type { Epoch } from '../kinds/epoch.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
+import type { Epoch } from '../common/epoch.js';
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import type { State } from '../store/state.js';
 import type { Followers } from './followers.js';
 import { InSyncSet } from './in-sync-set.js';
@@ -57,10 +57,10 @@
       round.forgiveFailures();
       for (const core of coresOf(round)) round.offer(core);
       const isWaiting = isWhole() && !leadership.isUnsure() && !mustReplace(round);
-      const patience = Moment.after(isWaiting ? slowAfter : 0);
-      const mayWait = () => leadership.isLeading() && !round.hasFailures() && !Moment.isPast(patience);
+      const patience = Instant.after(isWaiting ? slowAfter : 0);
+      const mayWait = () => leadership.isLeading() && !round.hasFailures() && !Instant.isPast(patience);
       while (mayWait() && !isHeld(round)) {
-        await round.moved(Moment.left(patience));
+        await round.moved(Instant.left(patience));
         round.offerAgain(coresOf(round), leadership.term().epoch);
       }
     };
--- a/src/replica/term-change.ts
+++ b/src/replica/term-change.ts
@@ -1,9 +1,10 @@
 // Changes of the register that a primary makes under its own leadership. Each goes out from the term that it
 // leads under; a change that finds another primary's term deposes it, and one whose outcome is unknown leaves
 // the leadership unsure until a later change has settled it.
+
+import { Epoch } from '../common/epoch.js';
 import type { Proposer } from '../epoch/proposer.js';
 import { Term } from '../epoch/term.js';
-import { Epoch } from '../kinds/epoch.js';
 import type { Leadership } from './leadership.js';
 
 /** The primary's changes of the register. */
--- a/src/replica/transfer-source.ts
+++ b/src/replica/transfer-source.ts
@@ -1,6 +1,6 @@
 // What a member that stands behind is sent next: one change, a tail of changes, or a snapshot, whichever is
 // shorter. Members that need a snapshot at the same time share one.
-import { Stamp } from '../kinds/stamp.js';
+import { Stamp } from '../common/stamp.js';
 import type { State } from '../store/state.js';
 import type { ChangeLog } from './change-log.js';
 import { Payload } from './payload.js';
--- a/src/startup/watched.ts
+++ b/src/startup/file-watcher.ts
@@ -1,9 +1,9 @@
 // A file that may change without a signal: looked at once a second, read when its dates or size differ and now and
 // then all the same, and told on when its text is another one. A file that is not there just now is no change.
 import { readFileSync, statSync } from 'node:fs';
-import { Timer } from '../kinds/timer.js';
+import { Timer } from '../common/timer.js';
 
-export type Watched = { readonly look: () => void; readonly stop: () => void };
+export type FileWatcher = { readonly look: () => void; readonly stop: () => void };
 
 const lookEvery = 1000;
 const readEvery = 10;
@@ -21,8 +21,8 @@
   }
 };
 
-export const Watched = {
-  file(path: string, onChange: (text: string) => void): Watched {
+export const FileWatcher = {
+  file(path: string, onChange: (text: string) => void): FileWatcher {
     let mark = markOf(path);
     let text = textOf(path);
     let looks = 0;
--- a/src/startup/ops.ts
+++ b/src/startup/ops.ts
@@ -3,7 +3,7 @@
 import type { Server } from 'node:http';
 import { createAdaptorServer } from '@hono/node-server';
 import { Hono } from 'hono';
-import type { Ring } from '../log/ring.js';
+import type { LogBuffer } from '../log/log-buffer.js';
 import type { Metrics } from './metrics.js';
 
 export type Ops = { readonly app: Hono; readonly server: () => Server };
@@ -12,7 +12,7 @@
   of(terms: {
     readonly isReady: () => string | undefined;
     readonly metrics: Metrics;
-    readonly ring: Ring;
+    readonly ring: LogBuffer;
     readonly describe: () => object;
     readonly readyPath?: string | undefined;
   }): Ops {
--- a/src/startup/program.ts
+++ b/src/startup/program.ts
@@ -3,9 +3,9 @@
 // a second one ends at once. Exit codes: 0 ended in order, 1 a failure, 2 a bad startup.
 import { readFileSync } from 'node:fs';
 import sade from 'sade';
-import { Failure } from '../kinds/failure.js';
-import type { Guard } from '../kinds/guard.js';
-import { Ring } from '../log/ring.js';
+import { Failure } from '../common/failure.js';
+import type { Guard } from '../common/guard.js';
+import { LogBuffer } from '../log/log-buffer.js';
 import { Version } from './version.js';
 
 export type Program = {
@@ -19,12 +19,12 @@
     readonly about: string;
     readonly guard: Guard<S>;
     readonly flags: Readonly<Record<string, string>>;
-    readonly start: (startup: S, ring: Ring) => Promise<Program>;
+    readonly start: (startup: S, ring: LogBuffer) => Promise<Program>;
   };
   type Made = {
     readonly name: string;
     readonly node: string;
-    readonly start: (ring: Ring) => Promise<Program>;
+    readonly start: (ring: LogBuffer) => Promise<Program>;
   };
 }
 
@@ -67,7 +67,7 @@
 };
 
 /** Sees to it that the program does not end without a line that says why; returns how to end it after a failure. */
-const watchEnd = (ring: Ring, isDraining: () => boolean): ((error: unknown) => never) => {
+const watchEnd = (ring: LogBuffer, isDraining: () => boolean): ((error: unknown) => never) => {
   let isTold = false;
   const die = (error: unknown): never => {
     isTold = true;
@@ -83,7 +83,7 @@
 };
 
 const run = async (terms: Program.Made): Promise<void> => {
-  const ring = Ring.of(terms.node);
+  const ring = LogBuffer.of(terms.node);
   let isDraining = false;
   const die = watchEnd(ring, () => isDraining);
   let program: Program;
--- a/src/startup/startup.ts
+++ b/src/startup/startup.ts
@@ -1,5 +1,5 @@
 // The startup of each daemon, as guards. Unknown keys are findings.
-import { Guard } from '../kinds/guard.js';
+import { Guard } from '../common/guard.js';
 
 const name = Guard.text({
   like: /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/,
--- a/src/store/file.ts
+++ b/src/store/file.ts
@@ -7,10 +7,10 @@
 // nothing but the new file.
 import { type FileHandle, mkdir, open, readFile, rename, rm } from 'node:fs/promises';
 import { join } from 'node:path';
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
-import { Phase } from '../kinds/phase.js';
-import { Turns } from '../kinds/turns.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
+import { Mutex } from '../common/mutex.js';
+import { StateMachine } from '../common/state-machine.js';
 import { Records } from './records.js';
 
 /** An append-only file of checksummed records. */
@@ -81,11 +81,15 @@
   readonly payloads: readonly Buffer[];
   readonly #folder: string;
   readonly #name: string;
-  readonly #turns = Turns.of();
-  readonly #phase = Phase.of('sound', { sound: ['broken', 'shut'], broken: ['sound', 'shut'], shut: [] });
+  readonly #turns = Mutex.of();
+  readonly #phase = StateMachine.of('sound', {
+    sound: ['broken', 'shut'],
+    broken: ['sound', 'shut'],
+    shut: [],
+  });
   #handle: FileHandle;
   #length: number;
-  #busySince: Moment | undefined;
+  #busySince: Instant | undefined;
   /** What was appended since a replacement began. */
   #meanwhile: Buffer[] | undefined;
   #replacement: Promise<void> = Promise.resolve();
@@ -103,7 +107,7 @@
   };
 
   readonly isSound = (): boolean => {
-    const isStalled = this.#busySince !== undefined && Moment.since(this.#busySince) >= stalledAfter;
+    const isStalled = this.#busySince !== undefined && Instant.since(this.#busySince) >= stalledAfter;
     return this.#phase.is('sound') && !isStalled;
   };
 
@@ -159,7 +163,7 @@
     return this.#turns.take(async () => {
       if (!this.#phase.is('sound') && !(isWhole && this.#phase.is('broken')))
         throw Failure.of('store', `${this.#name} is ${this.#phase.state}`);
-      this.#busySince = Moment.now();
+      this.#busySince = Instant.now();
       try {
         await work();
         if (this.#phase.is('broken')) this.#phase.become('sound');
@@ -210,7 +214,7 @@
   async #finishReplacing(next: FileHandle, length: number, meanwhile: readonly Buffer[]): Promise<void> {
     if (this.#meanwhile !== meanwhile || !this.#phase.is('sound'))
       throw Failure.of('store', `${this.#name} was rewritten meanwhile, or is ${this.#phase.state}`);
-    this.#busySince = Moment.now();
+    this.#busySince = Instant.now();
     try {
       const tail = Buffer.concat(meanwhile);
       if (tail.length > 0) {
--- a/src/store/manifests.ts
+++ b/src/store/manifests.ts
@@ -1,7 +1,7 @@
 // The manifests that a state keeps, the newest last. Of them the newest ones hold the words that they were made
 // from, the older ones do not, and long ones leave room for fewer. An older one is seldom asked for: it is held as
 // the bytes in which it came, and read when somebody asks. Lists are never changed, only replaced.
-import { Failure } from '../kinds/failure.js';
+import { Failure } from '../common/failure.js';
 import type { Document } from '../manifest/document.js';
 import { Codec } from './codec.js';
 import { DocumentText } from './document-text.js';
--- a/src/store/orders.ts
+++ b/src/store/orders.ts
@@ -5,7 +5,7 @@
 // what nodes held, who keep no records. An order at or below it that is not known may have been taken, so it
 // must not be refused: it is left without a clear answer.
 import { createHash } from 'node:crypto';
-import { Revision } from '../kinds/revision.js';
+import { Revision } from '../common/revision.js';
 
 /** What a state keeps of the orders that made it. */
 export type Orders = {
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -3,7 +3,7 @@
 // payload, was never acknowledged and is cut off; damage with a whole record after it makes the whole copy
 // untrusted, for what follows it can't be vouched for.
 import { crc32 } from 'node:zlib';
-import { Failure } from '../kinds/failure.js';
+import { Failure } from '../common/failure.js';
 
 /** The payloads of a file's whole records, and the length up to which it holds them. */
 export type Records = { readonly payloads: readonly Buffer[]; readonly length: number };
--- a/src/store/replay.ts
+++ b/src/store/replay.ts
@@ -1,6 +1,6 @@
 // Rebuilds a state from the records of its file, one after the other: the parts and the head of a snapshot, and the
 // changes after it. Files of earlier versions begin with a whole state, or with nothing.
-import { Failure } from '../kinds/failure.js';
+import { Failure } from '../common/failure.js';
 import { Codec } from './codec.js';
 import { Snapshot } from './snapshot.js';
 import { State } from './state.js';
--- a/src/store/seal.ts
+++ b/src/store/seal.ts
@@ -2,7 +2,7 @@
 // that does not open under the key is no damage of the disk: the wrong key was given, and nothing is set aside.
 import { createCipheriv, createDecipheriv, randomBytes } from 'node:crypto';
 import { readFile } from 'node:fs/promises';
-import { Failure } from '../kinds/failure.js';
+import { Failure } from '../common/failure.js';
 
 /** Closes payloads under a key and opens them again. */
 export type Seal = {
--- a/src/store/snapshot.ts
+++ b/src/store/snapshot.ts
@@ -1,8 +1,8 @@
 // A whole state as records of its file. Each kept manifest is a record of its own, in the very bytes in which its
 // change came, so that writing a snapshot costs little however long they are. The head comes last: the rest of the
 // state, which names for each manifest the record that holds its document.
-import { Failure } from '../kinds/failure.js';
-import type { Stamp } from '../kinds/stamp.js';
+import { Failure } from '../common/failure.js';
+import type { Stamp } from '../common/stamp.js';
 import { Codec } from './codec.js';
 import { Manifests } from './manifests.js';
 import type { State } from './state.js';
--- a/src/store/state.ts
+++ b/src/store/state.ts
@@ -1,10 +1,10 @@
 // The system's own state and the changes that make it. A change carries the stamp it leads to; the
 // same changes in the same order give the same state on every copy. A state is never changed: the next one shares
 // with it all that stayed, so that a change costs the same however much is kept.
-import { Epoch } from '../kinds/epoch.js';
-import type { Ident } from '../kinds/ident.js';
-import { Revision } from '../kinds/revision.js';
-import { Stamp } from '../kinds/stamp.js';
+import { Epoch } from '../common/epoch.js';
+import type { Id } from '../common/id.js';
+import { Revision } from '../common/revision.js';
+import { Stamp } from '../common/stamp.js';
 import type { Document } from '../manifest/document.js';
 import type { View } from '../manifest/view.js';
 import { Codec } from './codec.js';
@@ -64,7 +64,7 @@
       }
     | {
         readonly kind: 'evacuations';
-        readonly zones: readonly Ident.Zone[];
+        readonly zones: readonly Id.Zone[];
         readonly by: string;
         readonly at: string;
         readonly what: string;
--- a/src/store/store.ts
+++ b/src/store/store.ts
@@ -4,10 +4,10 @@
 // folder is then untrusted. After a failed write the copy is mended by writing all of what it holds anew. Under a
 // key file each record is sealed on the disk, and a file found in plain is written anew; without one no manifest
 // with walls is kept, for its secret may not lie there in plain.
-import { Failure } from '../kinds/failure.js';
-import { Stamp } from '../kinds/stamp.js';
-import { Timer } from '../kinds/timer.js';
-import { Turns } from '../kinds/turns.js';
+import { Failure } from '../common/failure.js';
+import { Mutex } from '../common/mutex.js';
+import { Stamp } from '../common/stamp.js';
+import { Timer } from '../common/timer.js';
 import { Codec } from './codec.js';
 import { File } from './file.js';
 import { Replay } from './replay.js';
@@ -70,7 +70,7 @@
   readonly #file: File;
   readonly #seal: Seal | undefined;
   readonly #note: Store.Note;
-  readonly #turns = Turns.of();
+  readonly #turns = Mutex.of();
   #state: State;
   #snapshotCost: number;
   #tailCost: number;
--- a/src/upstream/budget.ts
+++ b/src/upstream/budget.ts
@@ -7,9 +7,10 @@
 // of, so that restarts and cuts leave the sum below the whole. A part below one is one try in a longer window, as long
 // as one from every proxy at once stays within half of what is allowed. While a proxy still learns of others, it
 // spends none, since its part would be too large.
+
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import { Purse } from '../duty/purse.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
 
 export type Budget = {
   readonly earn: () => void;
@@ -44,35 +45,35 @@
     allowance?: Budget.Allowance,
   ): Budget {
     let most = 0;
-    let grewAt = Moment.past;
-    let spent: Moment[] = [];
+    let grewAt = Instant.past;
+    let spent: Instant[] = [];
     const know = () => {
       const now = allowance?.proxies() ?? 0;
       if (now <= most) return;
       most = now;
-      grewAt = Moment.now();
+      grewAt = Instant.now();
     };
     const spendAllowed = (): boolean => {
       if (!allowance) return false;
       know();
-      if (most === 0 || Moment.since(grewAt) < settledAfter) return false;
+      if (most === 0 || Instant.since(grewAt) < settledAfter) return false;
       const part = (allowance.tries * portion) / most;
       if (part < 1 && most > allowance.tries * mostAtOnce) return false;
       const window = allowance.window / Math.min(1, part);
-      spent = spent.filter((at) => Moment.since(at) < window);
+      spent = spent.filter((at) => Instant.since(at) < window);
       if (spent.length >= Math.max(1, Math.floor(part))) return false;
-      spent.push(Moment.now());
+      spent.push(Instant.now());
       return true;
     };
     const purse = Purse.of();
     let epoch = 0;
-    let askedAt = 0 as Moment;
+    let askedAt = 0 as Instant;
     let waiting = 0;
     const wakes = new Set<() => void>();
     const isHeld = () => purse.total() >= whole;
     const want = () => {
-      if (isHeld() || Moment.since(askedAt) < askAgainAfter) return;
-      askedAt = Moment.now();
+      if (isHeld() || Instant.since(askedAt) < askAgainAfter) return;
+      askedAt = Instant.now();
       send([], Math.max(asked, waiting * whole));
     };
     return {
@@ -81,15 +82,15 @@
       spend: () => purse.take(whole) !== undefined || spendAllowed(),
       want,
       async arrival(span, signal) {
-        const until = Moment.after(span);
+        const until = Instant.after(span);
         waiting += 1;
-        while (!isHeld() && !Moment.isPast(until) && !signal.aborted) {
+        while (!isHeld() && !Instant.isPast(until) && !signal.aborted) {
           want();
           const rest = new AbortController();
           const wake = () => rest.abort();
           wakes.add(wake);
           signal.addEventListener('abort', wake, { once: true });
-          await Timer.pause(Math.min(askAgainAfter, Moment.left(until)), rest.signal);
+          await Timer.pause(Math.min(askAgainAfter, Instant.left(until)), rest.signal);
           signal.removeEventListener('abort', wake);
           wakes.delete(wake);
         }
--- a/src/upstream/connection.ts
+++ b/src/upstream/connection.ts
@@ -3,10 +3,10 @@
  * so a connection that has ended can never quietly become a new one to whoever answers at that address now.
  */
 import { connect, type Socket } from 'node:net';
-import { Address } from '../kinds/address.js';
-import { Failure } from '../kinds/failure.js';
-import { Phase } from '../kinds/phase.js';
-import { Timer } from '../kinds/timer.js';
+import { Address } from '../common/address.js';
+import { Failure } from '../common/failure.js';
+import { StateMachine } from '../common/state-machine.js';
+import { Timer } from '../common/timer.js';
 import type { Compiled } from '../manifest/compiled.js';
 import { Exchange } from './exchange.js';
 import { Identity } from './identity.js';
@@ -111,7 +111,7 @@
 
 /** How a connection is used: one exchange at a time, and a rest between two. */
 class Use {
-  readonly phase: Phase<State>;
+  readonly phase: StateMachine<State>;
   readonly watchers: (() => void)[] = [];
   private isWhole: (() => boolean) | undefined;
   private kept: Exchange.Kept | undefined;
@@ -120,7 +120,7 @@
   private mayCarryMore = true;
 
   constructor(private readonly socket: Socket) {
-    this.phase = Phase.of<State>(
+    this.phase = StateMachine.of<State>(
       'proving',
       { proving: ['idle', 'closed'], idle: ['busy', 'closed'], busy: ['idle', 'closed'], closed: [] },
       (_from, to) => {
--- a/src/upstream/ejector.ts
+++ b/src/upstream/ejector.ts
@@ -2,8 +2,8 @@
 // ejected for a span that grows with each ejection, but never more than a share of its group at once.
 // A server that asked us to come back later rests until then. An instance at whose address another one
 // answered gets nothing more until the list shows it elsewhere or a short span is over.
-import { Address } from '../kinds/address.js';
-import { Moment } from '../kinds/moment.js';
+import { Address } from '../common/address.js';
+import { Instant } from '../common/instant.js';
 import type { Compiled } from '../manifest/compiled.js';
 
 export type Ejector = {
@@ -22,9 +22,9 @@
   type Why = 'failures' | 'misdirected';
 }
 
-type Health = { failures: number; ejections: number; outUntil: Moment; restUntil: Moment };
+type Health = { failures: number; ejections: number; outUntil: Instant; restUntil: Instant };
 
-type Misdirection = { readonly address: string; readonly count: number; readonly until: Moment };
+type Misdirection = { readonly address: string; readonly count: number; readonly until: Instant };
 
 const longestEjection = 60_000;
 const misdirectedFor = { first: 5000, longest: 20_000 } as const;
@@ -36,22 +36,22 @@
     const healthOf = (server: Compiled.Server): Health => {
       const known = healths.get(server.instance);
       if (known) return known;
-      const fresh = { failures: 0, ejections: 0, outUntil: 0 as Moment, restUntil: 0 as Moment };
+      const fresh = { failures: 0, ejections: 0, outUntil: 0 as Instant, restUntil: 0 as Instant };
       healths.set(server.instance, fresh);
       return fresh;
     };
     const isOut = (server: Compiled.Server): boolean => {
       const health = healths.get(server.instance);
-      return health !== undefined && !Moment.isPast(health.outUntil);
+      return health !== undefined && !Instant.isPast(health.outUntil);
     };
     return {
       isOut,
       restsFor: (server) =>
-        Math.max(0, Moment.left(healths.get(server.instance)?.restUntil ?? (0 as Moment))),
+        Math.max(0, Instant.left(healths.get(server.instance)?.restUntil ?? (0 as Instant))),
       out: () => [
         ...new Set([
-          ...[...healths].filter(([, one]) => !Moment.isPast(one.outUntil)).map(([name]) => name),
-          ...[...misdirections].filter(([, one]) => !Moment.isPast(one.until)).map(([name]) => name),
+          ...[...healths].filter(([, one]) => !Instant.isPast(one.outUntil)).map(([name]) => name),
+          ...[...misdirections].filter(([, one]) => !Instant.isPast(one.until)).map(([name]) => name),
         ]),
       ],
       good(server) {
@@ -62,10 +62,10 @@
       },
       misdirected(server) {
         const known = misdirections.get(server.instance);
-        if (known && !Moment.isPast(known.until)) return;
+        if (known && !Instant.isPast(known.until)) return;
         const count = known?.count ?? 0;
         const span = Math.min(misdirectedFor.longest, misdirectedFor.first * 2 ** count);
-        const until = Moment.after(span);
+        const until = Instant.after(span);
         misdirections.set(server.instance, {
           address: Address.text(server.address),
           count: count + 1,
@@ -76,7 +76,9 @@
       isMisdirected(server) {
         const known = misdirections.get(server.instance);
         return (
-          known !== undefined && known.address === Address.text(server.address) && !Moment.isPast(known.until)
+          known !== undefined &&
+          known.address === Address.text(server.address) &&
+          !Instant.isPast(known.until)
         );
       },
       bad(server, group) {
@@ -88,11 +90,11 @@
         health.failures = group.ejection.consecutive - 1;
         const span = Math.min(longestEjection, group.ejection.base * 2 ** health.ejections);
         health.ejections += 1;
-        health.outUntil = Moment.after(span);
+        health.outUntil = Instant.after(span);
         note(server, span, 'failures');
       },
       rest(server, span) {
-        healthOf(server).restUntil = Moment.after(span);
+        healthOf(server).restUntil = Instant.after(span);
       },
       retain(compiled) {
         for (const kept of [healths, misdirections])
--- a/src/upstream/exchange.ts
+++ b/src/upstream/exchange.ts
@@ -11,7 +11,7 @@
   request,
 } from 'node:http';
 import type { Socket } from 'node:net';
-import { Failure } from '../kinds/failure.js';
+import { Failure } from '../common/failure.js';
 
 /** What came of an exchange. */
 export type Exchange =
--- a/src/upstream/failures.ts
+++ b/src/upstream/failures.ts
@@ -2,7 +2,7 @@
 // of its requests is seen by no single proxy of many, each of which sends it few. The count is soft: it fades within
 // seconds, makes a server dearer and never closes it, a share of the picks leaves it aside, and it holds for no more
 // of a group than may be ejected, and only for servers that fail much oftener than their group's middle one.
-import { Moment } from '../kinds/moment.js';
+import { Instant } from '../common/instant.js';
 import type { Compiled } from '../manifest/compiled.js';
 
 export type Failures = {
@@ -33,15 +33,15 @@
 
 export const Failures = {
   of(): Failures {
-    const scores = new Map<string, { readonly score: number; readonly at: Moment }>();
-    const made = new Map<string, { readonly costs: ReadonlyMap<string, number>; readonly at: Moment }>();
+    const scores = new Map<string, { readonly score: number; readonly at: Instant }>();
+    const made = new Map<string, { readonly costs: ReadonlyMap<string, number>; readonly at: Instant }>();
     let waiting = new Map<string, number>();
     const scoreOf = (instance: string): number => {
       const known = scores.get(instance);
-      return known ? known.score * 2 ** (-Moment.since(known.at) / halfLife) : 0;
+      return known ? known.score * 2 ** (-Instant.since(known.at) / halfLife) : 0;
     };
     const add = (instance: string, weight: number) =>
-      void scores.set(instance, { score: scoreOf(instance) + weight, at: Moment.now() });
+      void scores.set(instance, { score: scoreOf(instance) + weight, at: Instant.now() });
     const reckon = (group: Compiled.Group): ReadonlyMap<string, number> => {
       const all = group.servers
         .map(({ instance }) => ({ instance, score: scoreOf(instance) }))
@@ -67,7 +67,7 @@
       good(instance) {
         const score = scoreOf(instance) * afterSuccess;
         if (score < forgotten) scores.delete(instance);
-        else scores.set(instance, { score, at: Moment.now() });
+        else scores.set(instance, { score, at: Instant.now() });
       },
       hear(told) {
         for (const { instance, count } of told)
@@ -76,9 +76,9 @@
       costs(group) {
         if (scores.size === 0) return none;
         const known = made.get(group.name);
-        if (known && Moment.since(known.at) < keptFor) return known.costs;
+        if (known && Instant.since(known.at) < keptFor) return known.costs;
         const costs = reckon(group);
-        made.set(group.name, { costs, at: Moment.now() });
+        made.set(group.name, { costs, at: Instant.now() });
         return costs;
       },
       untold() {
--- a/src/upstream/identity.ts
+++ b/src/upstream/identity.ts
@@ -1,7 +1,7 @@
 // Who is at the other end? Each new connection asks before it carries a request. The service is proved
 // by what the group declares, or for model servers by their listing every model of the group; the
 // instance by the declared place, or by the x-instance-id header wherever a server sends one.
-import { Failure } from '../kinds/failure.js';
+import { Failure } from '../common/failure.js';
 import type { Compiled } from '../manifest/compiled.js';
 import type { Document } from '../manifest/document.js';
 
--- a/src/upstream/pick.ts
+++ b/src/upstream/pick.ts
@@ -2,7 +2,7 @@
 // and ejection, and not dark. Among them a prompt goes by rendezvous hashing on its prefix key, so that proxies agree
 // without talking, skipping servers that this node keeps busier than a bound over the mean; other
 // requests go to the less busy of two drawn at random.
-import type { Ident } from '../kinds/ident.js';
+import type { Id } from '../common/id.js';
 import type { Compiled } from '../manifest/compiled.js';
 import type { Ejector } from './ejector.js';
 import type { InFlight } from './in-flight.js';
@@ -13,7 +13,7 @@
 export declare namespace Pick {
   type Tier = {
     readonly step: Compiled.Step;
-    readonly regions: readonly Ident.Region[];
+    readonly regions: readonly Id.Region[];
   };
   type Needs = {
     readonly compiled: Compiled;
@@ -44,7 +44,7 @@
 
 export const Pick = {
   mix,
-  tiers(rule: Compiled.Rule, regions: readonly Ident.Region[]): readonly Pick.Tier[] {
+  tiers(rule: Compiled.Rule, regions: readonly Id.Region[]): readonly Pick.Tier[] {
     if (rule.aim !== undefined) return rule.steps.map((step) => ({ step, regions }));
     const [first, ...others] = regions;
     const order = first === undefined ? [] : [first, ...rule.spill.filter((one) => others.includes(one))];
--- a/src/upstream/placement.ts
+++ b/src/upstream/placement.ts
@@ -4,7 +4,7 @@
 // first token is likely to come late. What a server keeps is learned from where this proxy sent the same parts,
 // within the server's memory; where it knows nothing, rendezvous hashing on the shared parts names one holder, the
 // same for all proxies and regions. A server that came lately is not taken to keep anything by hashing alone.
-import { Moment } from '../kinds/moment.js';
+import { Instant } from '../common/instant.js';
 import type { Compiled } from '../manifest/compiled.js';
 import type { InFlight } from './in-flight.js';
 import { Pick } from './pick.js';
@@ -99,17 +99,17 @@
 export const Placement = {
   of(needs: Placement.Needs): Placement {
     const kept = new Map<string, Map<string, Map<string, number>>>();
-    const seenSince = new Map<string, Moment>();
-    const loads = new Map<string, { readonly load: Placement.Load; readonly at: Moment; sent: number }>();
+    const seenSince = new Map<string, Instant>();
+    const loads = new Map<string, { readonly load: Placement.Load; readonly at: Instant; sent: number }>();
     const reading = Reading.of();
     let isFirst = true;
     let tokensUsual = usualTokens;
     const heard = (instance: string) => {
       const told = loads.get(instance);
-      return told && Moment.since(told.at) < heardFor ? told : undefined;
+      return told && Instant.since(told.at) < heardFor ? told : undefined;
     };
     const isSettled = (instance: string) =>
-      Moment.since(seenSince.get(instance) ?? Moment.now()) > settledAfter;
+      Instant.since(seenSince.get(instance) ?? Instant.now()) > settledAfter;
     const missing = (instance: string, wall: string, chains: readonly Chain[], isHolder: boolean): number => {
       const held = kept.get(instance)?.get(wall);
       let tokens = 0;
@@ -226,7 +226,7 @@
       },
       reading,
       hear(told) {
-        for (const load of told) loads.set(load.instance, { load, at: Moment.now(), sent: 0 });
+        for (const load of told) loads.set(load.instance, { load, at: Instant.now(), sent: 0 });
       },
       retain({ servers }) {
         reading.retain((instance) => servers.has(instance));
@@ -234,7 +234,7 @@
         for (const instance of kept.keys()) if (!servers.has(instance)) kept.delete(instance);
         for (const instance of seenSince.keys()) if (!servers.has(instance)) seenSince.delete(instance);
         for (const instance of servers.keys())
-          if (!seenSince.has(instance)) seenSince.set(instance, isFirst ? Moment.past : Moment.now());
+          if (!seenSince.has(instance)) seenSince.set(instance, isFirst ? Instant.past : Instant.now());
         isFirst = servers.size === 0;
       },
     };
--- a/src/upstream/pool.ts
+++ b/src/upstream/pool.ts
@@ -2,9 +2,9 @@
 // that the newest manifest or platform list no longer holds at that address are dropped. A server takes so many
 // connections from all proxies together: each holds its even part, ends an idle one before it opens beyond that,
 // and opens none for a request that would be beyond.
-import { Address } from '../kinds/address.js';
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
+import { Address } from '../common/address.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
 import type { Compiled } from '../manifest/compiled.js';
 import { Connection } from './connection.js';
 
@@ -49,7 +49,7 @@
   }): Pool {
     const idle = new Map<string, Connection[]>();
     const all = new Set<Connection>();
-    const usedAt = new WeakMap<Connection, Moment>();
+    const usedAt = new WeakMap<Connection, Instant>();
     const forget = (connection: Connection) => {
       all.delete(connection);
       const list = idle.get(connection.server.instance);
@@ -58,7 +58,7 @@
         connection.server.instance,
         list.filter((one) => one !== connection),
       );
-      if (Moment.since(usedAt.get(connection) ?? Moment.past) < justUsed) terms.onEnded(connection.server);
+      if (Instant.since(usedAt.get(connection) ?? Instant.past) < justUsed) terms.onEnded(connection.server);
     };
     const held = new Map<string, number>();
     let mostProxies = 1;
@@ -140,7 +140,7 @@
         if (isBeyond || list.length >= mostIdle || !isHeld(terms.newest(), connection.server))
           void connection.destroy();
         else {
-          usedAt.set(connection, Moment.now());
+          usedAt.set(connection, Instant.now());
           addIdle(connection);
         }
       },
--- a/src/upstream/prover.ts
+++ b/src/upstream/prover.ts
@@ -6,8 +6,8 @@
 // once, so that nobody is believed who merely is cut off himself, then seldom, and given up when a proxy says that the
 // server is back: else each loss costs many times as many connections as there are proxies times servers.
 
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import type { Compiled } from '../manifest/compiled.js';
 import type { Connection } from './connection.js';
 import type { Pool } from './pool.js';
@@ -111,7 +111,7 @@
 export const Prover = {
   of(needs: Prover.Needs): Prover {
     const dark = new Map<string, Darkness>();
-    const askedAt = new Map<string, Moment>();
+    const askedAt = new Map<string, Instant>();
     const watchers = watchersByServer();
     const tellDark = (server: Compiled.Server) => {
       needs.onDark(server);
@@ -142,9 +142,9 @@
       lost,
       watch: watchers.add,
       suspect(server) {
-        const asked = askedAt.get(server.instance) ?? Moment.past;
-        if (dark.has(server.instance) || Moment.since(asked) < askAgainAfter) return;
-        askedAt.set(server.instance, Moment.now());
+        const asked = askedAt.get(server.instance) ?? Instant.past;
+        if (dark.has(server.instance) || Instant.since(asked) < askAgainAfter) return;
+        askedAt.set(server.instance, Instant.now());
         void prove(needs, server, new AbortController().signal).then((connection) => {
           if (connection) needs.pool.give(connection);
           else if (find(needs, server.instance)) lost(server);
--- a/src/upstream/ramp.ts
+++ b/src/upstream/ramp.ts
@@ -3,7 +3,7 @@
 // proxy's part follows from the roster of live proxies alone, by rank, so the parts add up to the limit
 // without any talk. A server that answered us a moment ago, and since we were told that it was dark, is not
 // taken for cold, whatever a proxy that was itself cut off may say.
-import { Moment } from '../kinds/moment.js';
+import { Instant } from '../common/instant.js';
 import { Pick } from './pick.js';
 
 export type Ramp = {
@@ -23,17 +23,17 @@
 
 export const Ramp = {
   of(own: string, roster: () => readonly string[]): Ramp {
-    const began = new Map<string, Moment>();
-    const lastGood = new Map<string, Moment>();
+    const began = new Map<string, Instant>();
+    const lastGood = new Map<string, Instant>();
     const doubted = new Set<string>();
-    const isFresh = (instance: string) => Moment.since(lastGood.get(instance) ?? Moment.past) < freshlyGood;
+    const isFresh = (instance: string) => Instant.since(lastGood.get(instance) ?? Instant.past) < freshlyGood;
     const rank = (instance: string, proxies: readonly string[]): number => {
       const weigh = (proxy: string) => Pick.mix(Pick.mix(0x811c9dc5, instance), proxy);
       const mine = weigh(own);
       return proxies.filter((proxy) => proxy !== own && weigh(proxy) > mine).length;
     };
     return {
-      good: (instance) => void lastGood.set(instance, Moment.now()),
+      good: (instance) => void lastGood.set(instance, Instant.now()),
       isFresh,
       doubt(instance) {
         lastGood.delete(instance);
@@ -42,16 +42,16 @@
       begin(instance, age = 0) {
         if (isFresh(instance)) return false;
         const known = began.get(instance);
-        const isRunning = known !== undefined && Moment.since(known) < over;
+        const isRunning = known !== undefined && Instant.since(known) < over;
         if (age > over || (isRunning && !doubted.has(instance))) return false;
         doubted.delete(instance);
-        began.set(instance, Moment.after(-age));
+        began.set(instance, Instant.after(-age));
         return true;
       },
       allowance(instance) {
         const from = began.get(instance);
         if (from === undefined) return Number.POSITIVE_INFINITY;
-        const span = Moment.since(from);
+        const span = Instant.since(from);
         if (span >= over) {
           began.delete(instance);
           return Number.POSITIVE_INFINITY;
@@ -61,7 +61,7 @@
         const count = Math.max(1, proxies.includes(own) ? proxies.length : proxies.length + 1);
         return Math.floor(limit / count) + (rank(instance, proxies) < limit % count ? 1 : 0);
       },
-      gentle: () => [...began].filter(([, from]) => Moment.since(from) < over).map(([instance]) => instance),
+      gentle: () => [...began].filter(([, from]) => Instant.since(from) < over).map(([instance]) => instance),
       retain(isHeld) {
         for (const kept of [began, lastGood])
           for (const instance of kept.keys()) if (!isHeld(instance)) kept.delete(instance);
--- a/src/upstream/trial.ts
+++ b/src/upstream/trial.ts
@@ -1,9 +1,9 @@
 // One try of one request on one server: connect and prove, then send, then wait for the response to
 // begin. How it ended is told as a tagged union that always says whether the request may have run.
 import type { IncomingHttpHeaders } from 'node:http';
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import type { Document } from '../manifest/document.js';
 import type { Connection } from './connection.js';
 import type { Exchange } from './exchange.js';
@@ -49,7 +49,7 @@
     readonly inFlight: InFlight;
     readonly request: (left: number) => Exchange.Request;
     readonly timeouts: Document.Timeouts;
-    readonly deadline: Moment;
+    readonly deadline: Instant;
     readonly signal: AbortSignal;
     readonly isStillOpen: (pick: Pick) => boolean;
     readonly settle: () => Promise<void>;
@@ -85,10 +85,10 @@
     const cut = new AbortController();
     const end = (why: Trial.Why) => cut.abort(Failure.of('timeout', `ended by ${why}`, { why }));
     const onLeave = () => end('left');
-    const perTry = Moment.after(timeouts.per_try);
+    const perTry = Instant.after(timeouts.per_try);
     const bounds = (): (readonly [Trial.Why, number])[] => [
-      ['per_try', Moment.left(perTry)],
-      ['total', Moment.left(deadline)],
+      ['per_try', Instant.left(perTry)],
+      ['total', Instant.left(deadline)],
     ];
     const isOpenedAtOnce = pick.group.proof !== undefined;
     const patience: readonly [Trial.Why, number][] = isOpenedAtOnce ? [['slow', slowConnect]] : [];
@@ -124,12 +124,12 @@
       needs.onSend();
       return true;
     };
-    const result = await connection.run(needs.request(Moment.left(deadline)), {
+    const result = await connection.run(needs.request(Instant.left(deadline)), {
       isTied: needs.tie !== undefined,
       signal: cut.signal,
       maySend: () =>
-        !Moment.isPast(perTry) &&
-        !Moment.isPast(deadline) &&
+        !Instant.isPast(perTry) &&
+        !Instant.isPast(deadline) &&
         !needs.signal.aborted &&
         needs.isStillOpen(pick) &&
         begin(),
@@ -140,7 +140,7 @@
       finish();
       await connection.destroy();
       if (result.isSent) return { kind: 'lost', why: whyOf(result.cause, 'reset'), pick };
-      const isLate = Moment.isPast(deadline) || needs.signal.aborted || !needs.isStillOpen(pick);
+      const isLate = Instant.isPast(deadline) || needs.signal.aborted || !needs.isStillOpen(pick);
       return { kind: 'unsent', why: isLate ? 'late' : whyOf(result.cause, 'connect'), pick };
     }
     const { status, headers, body } = result;
--- a/src/upstream/tries.ts
+++ b/src/upstream/tries.ts
@@ -3,9 +3,9 @@
 // request certainly was not run. Every try beyond the first needs a token, and one deadline and hop
 // budget bound them all. A verdict is given the moment it is known; only a stream that broke waits for its token.
 import { match } from 'ts-pattern';
-import type { Ident } from '../kinds/ident.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
+import type { Id } from '../common/id.js';
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import type { Compiled } from '../manifest/compiled.js';
 import type { Budget } from './budget.js';
 import { Pick } from './pick.js';
@@ -40,11 +40,11 @@
   type Why = Trial.Why | 'no_server' | 'budget' | 'refused' | 'attempts';
   type Plan = {
     readonly rule: Compiled.Rule;
-    readonly regions: readonly Ident.Region[];
+    readonly regions: readonly Id.Region[];
     readonly key: string | undefined;
     readonly want: Placement.Want;
     readonly before: { readonly tried: readonly string[]; readonly sent: number };
-    readonly deadline: Moment;
+    readonly deadline: Instant;
     readonly signal: AbortSignal;
     readonly budget: Budget;
     readonly pick: () => Pick.Needs;
@@ -124,7 +124,7 @@
     return { kind: 'refusal', status, why: why ?? cause, retryAfter, tries };
   };
   const isResumed = sent > 0;
-  const isOver = () => plan.signal.aborted || Moment.isPast(plan.deadline);
+  const isOver = () => plan.signal.aborted || Instant.isPast(plan.deadline);
 
   if (sent > rule.retry.count) return verdict('attempts');
   if (sent > 0 && isOver()) return verdict('total');
@@ -141,10 +141,10 @@
     const isExtra = sent > 0;
     if (isExtra && !plan.budget.spend()) {
       if (!isResumed) return verdict('budget');
-      const until = Moment.after(grantWithin);
+      const until = Instant.after(grantWithin);
       do {
-        if (isOver() || Moment.isPast(until)) return verdict('budget');
-        yield { kind: 'token', span: Moment.left(until) };
+        if (isOver() || Instant.isPast(until)) return verdict('budget');
+        yield { kind: 'token', span: Instant.left(until) };
       } while (!plan.budget.spend());
       const anew = choose(tierIndex, true);
       if (!anew || (anew.index > tierIndex && hops >= rule.hops)) return verdict('no_server');
@@ -191,7 +191,7 @@
         Math.min(...rests, longestRetryAfter),
         backOff(rule.retry, retries, plan.pick().random),
       );
-      if (open.length === 0 || wait >= Moment.left(plan.deadline)) return verdict();
+      if (open.length === 0 || wait >= Instant.left(plan.deadline)) return verdict();
       plan.budget.want();
       yield { kind: 'pause', span: wait };
       retries += 1;
@@ -216,7 +216,7 @@
         if (told === undefined && plan.before.sent === 0) plan.budget.earn();
         told = await plan.run(step.value.pick, step.value.tier, step.value.hops);
       } else {
-        const span = Math.min(step.value.span, Moment.left(plan.deadline));
+        const span = Math.min(step.value.span, Instant.left(plan.deadline));
         if (step.value.kind === 'token') await plan.budget.arrival(span, plan.signal);
         else await Timer.pause(span, plan.signal);
       }
--- a/src/upstream/warmup.ts
+++ b/src/upstream/warmup.ts
@@ -4,7 +4,7 @@
 // since what it sent may be on its way for a while, and what it has chosen the server for and not sent yet, since
 // many requests may wait for their connections at once. While the roster fills, as after a restart of all or when a
 // cut region comes back, parts reckoned from it would add up to many times the bound, so they are nothing.
-import { Moment } from '../kinds/moment.js';
+import { Instant } from '../common/instant.js';
 import type { Compiled } from '../manifest/compiled.js';
 import { Pick } from './pick.js';
 
@@ -29,23 +29,23 @@
 
 export const Warmup = {
   of(own: string, roster: () => readonly string[]): Warmup {
-    const until = new Map<string, Moment>();
-    const sends = new Map<string, Moment[]>();
+    const until = new Map<string, Instant>();
+    const sends = new Map<string, Instant[]>();
     const entered = new Map<string, number>();
     const isCold = (instance: string): boolean => {
       const end = until.get(instance);
       if (end === undefined) return false;
-      if (!Moment.isPast(end)) return true;
+      if (!Instant.isPast(end)) return true;
       until.delete(instance);
       sends.delete(instance);
       return false;
     };
     let known = roster().length;
-    let filledAt = Moment.past;
+    let filledAt = Instant.past;
     const isFilling = (count: number): boolean => {
-      if (count > known * mostGrowth) filledAt = Moment.now();
+      if (count > known * mostGrowth) filledAt = Instant.now();
       if (count > known * mostGrowth || count < known) known = count;
-      return Moment.since(filledAt) < fillsWithin;
+      return Instant.since(filledAt) < fillsWithin;
     };
     const partOf = (instance: string, bound: number): number => {
       const proxies = roster();
@@ -60,12 +60,12 @@
     return {
       isCold,
       begin(instance, span) {
-        const end = Moment.after(span + margin);
-        if (span > 0 && end > (until.get(instance) ?? Moment.past)) until.set(instance, end);
+        const end = Instant.after(span + margin);
+        if (span > 0 && end > (until.get(instance) ?? Instant.past)) until.set(instance, end);
       },
       allows(server, group) {
         if (!group.warmup || !isCold(server.instance)) return true;
-        const recent = (sends.get(server.instance) ?? []).filter((at) => Moment.since(at) < window);
+        const recent = (sends.get(server.instance) ?? []).filter((at) => Instant.since(at) < window);
         sends.set(server.instance, recent);
         const open = entered.get(server.instance) ?? 0;
         return recent.length + open < partOf(server.instance, Math.floor(group.warmup.per_second * portion));
@@ -84,7 +84,7 @@
           leave,
           sent() {
             leave();
-            if (isCold(instance)) sends.set(instance, [...(sends.get(instance) ?? []), Moment.now()]);
+            if (isCold(instance)) sends.set(instance, [...(sends.get(instance) ?? []), Instant.now()]);
           },
         };
       },
--- a/src/wire/frame.ts
+++ b/src/wire/frame.ts
@@ -1,9 +1,9 @@
 // One frame as a tagged union, and its bytes. Each carries the sender's stamp. What cannot be decoded is a
 // failure of its sender's, never of ours. A frame of a kind that this program does not know comes from a
 // newer one: it is dropped and counted, and its link goes on.
-import type { Epoch } from '../kinds/epoch.js';
-import { Failure } from '../kinds/failure.js';
-import { Stamp } from '../kinds/stamp.js';
+import type { Epoch } from '../common/epoch.js';
+import { Failure } from '../common/failure.js';
+import { Stamp } from '../common/stamp.js';
 import { Schema } from './schema.js';
 
 export type Frame = Frame.Body & { readonly stamp: Stamp };
--- a/src/wire/http-client.ts
+++ b/src/wire/http-client.ts
@@ -6,9 +6,9 @@
   type IncomingMessage,
   request,
 } from 'node:http';
-import { Address } from '../kinds/address.js';
-import { Failure } from '../kinds/failure.js';
-import { Timer } from '../kinds/timer.js';
+import { Address } from '../common/address.js';
+import { Failure } from '../common/failure.js';
+import { Timer } from '../common/timer.js';
 
 /** Calls other programs. */
 export type HttpClient = {
--- a/src/wire/pair.ts
+++ b/src/wire/link-pair.ts
@@ -2,16 +2,16 @@
 // never at once. Neither end pings, since neither can be lost without the other; who hears word passes it on. Over sockets word is
 // passed on by the timer alone: the time on the way is not in its age, so two nodes below each other that passed it on
 // at once would keep it young for ever.
-import { Phase } from '../kinds/phase.js';
+import { StateMachine } from '../common/state-machine.js';
 import type { Frame } from './frame.js';
 import type { Link } from './link.js';
 
-export type Pair = readonly [Link, Link];
+export type LinkPair = readonly [Link, Link];
 
 type End = { readonly link: Link; readonly take: (frame: Frame) => void; readonly end: () => void };
 
 const makeEnd = (terms: Link.Terms, peer: string, other: () => End): End => {
-  const phase = Phase.of('open', { open: ['closed'], closed: [] });
+  const phase = StateMachine.of('open', { open: ['closed'], closed: [] });
   const held: Frame[] = [];
   let wake: () => void = () => {};
   let resolveClosed: () => void = () => {};
@@ -62,8 +62,8 @@
   };
 };
 
-export const Pair = {
-  of(first: Link.Terms, second: Link.Terms, name: string): Pair {
+export const LinkPair = {
+  of(first: Link.Terms, second: Link.Terms, name: string): LinkPair {
     const a: End = makeEnd(first, name, () => b);
     const b: End = makeEnd(second, name, () => a);
     return [a.link, b.link];
--- a/src/wire/doorway.ts
+++ b/src/wire/link-server.ts
@@ -1,21 +1,21 @@
 // The doorway is a listening port for links. Each link gets one task; a link that does not say hello
 // in time or sends what cannot be read is closed and counted, and never ends the process.
 import { createServer } from 'node:net';
-import { Address } from '../kinds/address.js';
-import { Failure } from '../kinds/failure.js';
-import { Listen } from '../kinds/listen.js';
-import type { Stamp } from '../kinds/stamp.js';
-import { Timer } from '../kinds/timer.js';
+import { Address } from '../common/address.js';
+import { Failure } from '../common/failure.js';
+import { Listen } from '../common/listen.js';
+import type { Stamp } from '../common/stamp.js';
+import { Timer } from '../common/timer.js';
 import type { Frame } from './frame.js';
 import { Link } from './link.js';
 
-export type Doorway = {
+export type LinkServer = {
   readonly address: Address;
   readonly refused: () => number;
   readonly close: () => Promise<void>;
 };
 
-export declare namespace Doorway {
+export declare namespace LinkServer {
   type Hello = Extract<Frame, { kind: 'hello' }>;
   type Needs = {
     readonly address: Address;
@@ -32,7 +32,7 @@
 const silence = 1200;
 const pingEvery = 250;
 
-const greet = async (frames: AsyncGenerator<Frame, void, void>): Promise<Doorway.Hello> => {
+const greet = async (frames: AsyncGenerator<Frame, void, void>): Promise<LinkServer.Hello> => {
   for (;;) {
     const { value } = await frames.next();
     if (!value) throw Failure.of('link', 'link ended before its hello');
@@ -41,9 +41,9 @@
   }
 };
 
-export const Doorway = {
+export const LinkServer = {
   /** Serves one link until it ends; false when what it sent could not be read or it said no hello. */
-  async attend(link: Link, needs: Pick<Doorway.Needs, 'age' | 'serve' | 'note'>): Promise<boolean> {
+  async attend(link: Link, needs: Pick<LinkServer.Needs, 'age' | 'serve' | 'note'>): Promise<boolean> {
     const late = Timer.after(helloWithin, () => link.close(Failure.of('silence', 'no hello')));
     const frames = link.frames();
     try {
@@ -60,11 +60,11 @@
       link.close();
     }
   },
-  async open(needs: Doorway.Needs): Promise<Doorway> {
+  async open(needs: LinkServer.Needs): Promise<LinkServer> {
     const links = new Set<Link>();
     let refused = 0;
     const attend = async (link: Link) => {
-      if (!(await Doorway.attend(link, needs))) refused += 1;
+      if (!(await LinkServer.attend(link, needs))) refused += 1;
       links.delete(link);
     };
     const server = createServer((socket) => {
@@ -95,5 +95,5 @@
         }),
     };
   },
-  text: (doorway: Doorway): string => Address.text(doorway.address),
+  text: (doorway: LinkServer): string => Address.text(doorway.address),
 };
--- a/src/wire/link.ts
+++ b/src/wire/link.ts
@@ -2,11 +2,11 @@
 // or steadily where asked; an end that hears nothing for a while gives the link up, so a frozen or cut peer shows
 // within two seconds. Reading is written straight down: one task per link loops over its frames.
 import { connect, type Socket } from 'node:net';
-import { type Address, Address as Addresses } from '../kinds/address.js';
-import { Failure } from '../kinds/failure.js';
-import { Phase } from '../kinds/phase.js';
-import type { Stamp } from '../kinds/stamp.js';
-import { Timer } from '../kinds/timer.js';
+import { type Address, Address as Addresses } from '../common/address.js';
+import { Failure } from '../common/failure.js';
+import type { Stamp } from '../common/stamp.js';
+import { StateMachine } from '../common/state-machine.js';
+import { Timer } from '../common/timer.js';
 import { Frame } from './frame.js';
 
 export type Link = {
@@ -55,7 +55,7 @@
 export const Link = {
   over(socket: Socket, terms: Link.Terms): Link {
     const silence = terms.silence ?? 2000;
-    const phase = Phase.of('open', { open: ['closed'], closed: [] });
+    const phase = StateMachine.of('open', { open: ['closed'], closed: [] });
     let end: () => void = () => {};
     const closed = new Promise<void>((resolve) => {
       end = resolve;
--- a/src/wire/courier.ts
+++ b/src/wire/peer-client.ts
@@ -3,10 +3,10 @@
 // votes it carries it knows whose disk answers there, which may be another one than was there before. A link
 // carries requests as soon as it stands, and counts as up once something was heard over it. A peer whose vote is the
 // one it gave last over this link says just that; the courier hands on the whole vote.
-import { Address } from '../kinds/address.js';
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
+import { Address } from '../common/address.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import type { Frame } from './frame.js';
 import { Link } from './link.js';
 import { Protocol } from './protocol.js';
@@ -15,7 +15,7 @@
 
 type Vote = Extract<Frame.Reply, { kind: 'vote' }>;
 
-export type Courier = {
+export type PeerClient = {
   readonly ask: (request: WithoutSerial<Frame.Request>, within: number) => Promise<Frame.Reply>;
   readonly isUp: () => boolean;
   readonly downFor: () => number;
@@ -26,7 +26,7 @@
   readonly stop: () => Promise<void>;
 };
 
-export declare namespace Courier {
+export declare namespace PeerClient {
   type Needs = {
     readonly place: string;
     readonly stamp: () => Frame['stamp'];
@@ -47,14 +47,14 @@
   return { ...vote, promised, accepted, term, core };
 };
 
-export const Courier = {
-  run(needs: Courier.Needs): Courier {
+export const PeerClient = {
+  run(needs: PeerClient.Needs): PeerClient {
     const stop = new AbortController();
     const waiting = new Map<number, (reply: Frame.Reply | Error) => void>();
     let serial = 0;
     let link: Link | undefined;
     let carrying: Link | undefined;
-    let lastUp = Moment.now();
+    let lastUp = Instant.now();
     let disk = '';
     let last: Vote | undefined;
     let protocol: Protocol | undefined;
@@ -78,7 +78,7 @@
         carrying = made;
         needs.onUp?.();
         for await (const frame of made.frames()) {
-          lastUp = Moment.now();
+          lastUp = Instant.now();
           link = made;
           if (!isReply(frame)) continue;
           const reply = frame.kind === 'vote' ? wholeOf(frame, last) : frame;
@@ -107,7 +107,7 @@
     return {
       place: needs.place,
       isUp: () => link !== undefined,
-      downFor: () => (link ? 0 : Moment.since(lastUp)),
+      downFor: () => (link ? 0 : Instant.since(lastUp)),
       reaches: (core) => disk === '' || disk === core.disk,
       protocol: () => protocol,
       ask: (request, within) =>
--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -2,15 +2,15 @@
 // order at a primary out of touch is answered at once, and a core that hears no primary grants no quotas.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
+import { Epoch } from '../src/common/epoch.js';
+import { Failure } from '../src/common/failure.js';
+import { Instant } from '../src/common/instant.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Office } from '../src/control/office.js';
 import { Responses } from '../src/control/responses.js';
 import { BudgetDuty } from '../src/duty/budget-duty.js';
 import type { QuotaDuty } from '../src/duty/quota-duty.js';
 import type { Proposer } from '../src/epoch/proposer.js';
-import { Epoch } from '../src/kinds/epoch.js';
-import { Failure } from '../src/kinds/failure.js';
-import { Moment } from '../src/kinds/moment.js';
-import { Stamp } from '../src/kinds/stamp.js';
 import type { Primary } from '../src/replica/primary.js';
 import { State } from '../src/store/state.js';
 
@@ -21,7 +21,7 @@
     term: () => term,
     state: () => State.empty,
     isLeading: () => true,
-    confirmedAt: Moment.now,
+    confirmedAt: Instant.now,
     confirm: async () => true,
     async commit(make) {
       make(State.empty, Stamp.of(1, 1));
@@ -59,21 +59,21 @@
   it('answers an order at once when no majority has been in touch', async () => {
     let isAsked = false;
     const primary = primaryOf({
-      confirmedAt: () => Moment.past,
+      confirmedAt: () => Instant.past,
       commit: () => {
         isAsked = true;
         return new Promise(() => {});
       },
     });
     const office = Office.of({ leading: () => primary, proposer });
-    const began = Moment.now();
+    const began = Instant.now();
     assert.equal(await takenOf(office.change(refuse, refuse)), 'no');
     assert.equal(isAsked, true);
-    assert.ok(Moment.since(began) < 3000);
+    assert.ok(Instant.since(began) < 3000);
     isAsked = false;
-    const again = Moment.now();
+    const again = Instant.now();
     assert.equal(await takenOf(office.change(refuse, refuse)), 'no');
-    assert.deepEqual([isAsked, Moment.since(again) < 100], [false, true]);
+    assert.deepEqual([isAsked, Instant.since(again) < 100], [false, true]);
   });
 
   it('grants quotas only while a primary is heard of', () => {
--- a/test/catch-up.test.ts
+++ b/test/catch-up.test.ts
@@ -2,8 +2,8 @@
 // processes killed on the way, while changes go on; and it counts only once it holds what is acknowledged.
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { Stamp } from '../src/kinds/stamp.js';
-import { Timer } from '../src/kinds/timer.js';
+import { Stamp } from '../src/common/stamp.js';
+import { Timer } from '../src/common/timer.js';
 import { Payload } from '../src/replica/payload.js';
 import type { Primary } from '../src/replica/primary.js';
 import { ReplicaKit } from './replica-kit.js';
--- a/test/change-cost.test.ts
+++ b/test/change-cost.test.ts
@@ -2,9 +2,9 @@
 // and a parent that passes a change on writes and compresses no whole view.
 import assert from 'node:assert/strict';
 import { describe, it, mock } from 'node:test';
-import { Epoch } from '../src/kinds/epoch.js';
-import { Revision } from '../src/kinds/revision.js';
-import { Stamp } from '../src/kinds/stamp.js';
+import { Epoch } from '../src/common/epoch.js';
+import { Revision } from '../src/common/revision.js';
+import { Stamp } from '../src/common/stamp.js';
 import { View } from '../src/manifest/view.js';
 import { Dispatch } from '../src/membership/dispatch.js';
 import { Turns } from '../src/membership/turns.js';
