--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -5,19 +5,19 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { after, afterEach, describe, it } from 'node:test';
+import { Epoch } from '../src/common/epoch.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Core } from '../src/control/core.js';
 import { Proposer } from '../src/epoch/proposer.js';
 import { Register } from '../src/epoch/register.js';
 import { Term } from '../src/epoch/term.js';
-import { Epoch } from '../src/kinds/epoch.js';
-import { Stamp } from '../src/kinds/stamp.js';
 import { View } from '../src/manifest/view.js';
 import { Backup } from '../src/replica/backup.js';
 import type { Primary } from '../src/replica/primary.js';
 import { File } from '../src/store/file.js';
 import { Store } from '../src/store/store.js';
-import type { Courier } from '../src/wire/courier.js';
 import type { Frame } from '../src/wire/frame.js';
+import type { PeerClient } from '../src/wire/peer-client.js';
 
 type Member = {
   readonly register: Register;
@@ -25,7 +25,7 @@
   readonly self: Frame.Core;
   readonly core: Core;
   readonly isRetired: () => boolean;
-  readonly answer: (request: Parameters<Courier['ask']>[0]) => Promise<Frame.Reply>;
+  readonly answer: (request: Parameters<PeerClient['ask']>[0]) => Promise<Frame.Reply>;
 };
 
 const folder = mkdtempSync(join(tmpdir(), 'bramblebend-core-'));
@@ -55,8 +55,8 @@
 };
 
 const open = async (
-  couriers: () => readonly Courier[],
-  courierTo: (core: Frame.Core) => Courier | undefined,
+  couriers: () => readonly PeerClient[],
+  courierTo: (core: Frame.Core) => PeerClient | undefined,
 ): Promise<Member> => {
   machines += 1;
   const data = join(folder, String(machines));
@@ -113,7 +113,7 @@
 const three = async () => {
   const members: Member[] = [];
   const lost = new Set<string>();
-  const courier = (from: number, to: number): Courier => {
+  const courier = (from: number, to: number): PeerClient => {
     const isCut = () => lost.has(`${from}>${to}`) || lost.has(`${to}>${from}`);
     return {
       async ask(request) {
--- a/test/dark.test.ts
+++ b/test/dark.test.ts
@@ -4,7 +4,7 @@
 import { connect } from 'node:net';
 import { after, before, describe, it } from 'node:test';
 import protobuf from 'protobufjs';
-import { Stamp } from '../src/kinds/stamp.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Frame } from '../src/wire/frame.js';
 import type { FleetKit } from '../tools/fleet-kit.js';
 import { Bench } from './bench.js';
--- a/test/draining.test.ts
+++ b/test/draining.test.ts
@@ -3,7 +3,7 @@
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import { Client } from 'undici';
-import { Ring } from '../src/log/ring.js';
+import { LogBuffer } from '../src/log/log-buffer.js';
 import type { Document } from '../src/manifest/document.js';
 import { ProxyProgram } from '../src/proxy/program.js';
 import type { Program } from '../src/startup/program.js';
@@ -43,7 +43,7 @@
     const own = { node: 'draining', zone: 'a-1', listen: `${ip}:8080`, ops: `${ip}:8081` };
     program = await ProxyProgram.start(
       { ...own, agent: bench.kit.fronts[0]!.feed, linger },
-      Ring.of('draining'),
+      LogBuffer.of('draining'),
     );
     await InForce.everywhere(bench.kit, [{ ...bench.kit.fronts[0]!, ops: own.ops }]);
     kept = new Client(`http://${own.listen}`, { keepAliveTimeout: 60_000 });
--- a/test/edge.test.ts
+++ b/test/edge.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { connect } from 'node:net';
 import { after, before, describe, it } from 'node:test';
-import { Stamp } from '../src/kinds/stamp.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Frame } from '../src/wire/frame.js';
 import { FleetKit } from '../tools/fleet-kit.js';
 import { InForce } from '../tools/in-force.js';
--- a/test/forming.test.ts
+++ b/test/forming.test.ts
@@ -4,11 +4,11 @@
  */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
+import { Epoch } from '../src/common/epoch.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Forming } from '../src/control/forming.js';
 import type { Term } from '../src/epoch/term.js';
 import type { Vote } from '../src/epoch/vote.js';
-import { Epoch } from '../src/kinds/epoch.js';
-import { Stamp } from '../src/kinds/stamp.js';
 
 const core = (disk: string, place = disk) => ({ disk, node: place, wire: `${place}:1`, http: `${place}:2` });
 const [a, b, c, newcomer] = [core('a'), core('b'), core('c'), core('newcomer')] as const;
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -6,7 +6,7 @@
 import { connect } from 'node:net';
 import { createInterface } from 'node:readline';
 import { afterEach, describe, it } from 'node:test';
-import { Failure } from '../src/kinds/failure.js';
+import { Failure } from '../src/common/failure.js';
 import { HttpClient } from '../src/wire/http-client.js';
 import { AnsweringServer } from './answering-server.js';
 
--- a/test/joining.test.ts
+++ b/test/joining.test.ts
@@ -2,7 +2,7 @@
 // none takes a process that was held up for a silent one.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { Stamp } from '../src/kinds/stamp.js';
+import { Stamp } from '../src/common/stamp.js';
 import { View } from '../src/manifest/view.js';
 import { Children } from '../src/membership/children.js';
 import { Downlink } from '../src/membership/downlink.js';
@@ -13,9 +13,9 @@
 import { Relays } from '../src/news/relays.js';
 import { Copies } from '../src/repair/copies.js';
 import { Ranges } from '../src/repair/ranges.js';
-import { Doorway } from '../src/wire/doorway.js';
 import type { Frame } from '../src/wire/frame.js';
 import { Link } from '../src/wire/link.js';
+import { LinkServer } from '../src/wire/link-server.js';
 import { Protocol } from '../src/wire/protocol.js';
 import { ParentKit } from './parent-kit.js';
 
@@ -56,7 +56,7 @@
   const roll = Roll.of(() => entry('parent', { program: 'control', zone: 'b-1', stamp: feed.stamp() }));
   const children = Children.of(roll);
   const hellos: string[] = [];
-  const doorway = await Doorway.open({
+  const doorway = await LinkServer.open({
     address: { host: '127.0.0.1', port: 0 },
     stamp: feed.stamp,
     age: () => 0,
@@ -102,7 +102,7 @@
       const uplink = Uplink.run({
         feed: own,
         roll: Roll.of(() => entry(node, { stamp: own.stamp() })),
-        seeds: [Doorway.text(doorway), '127.0.0.1:9'],
+        seeds: [LinkServer.text(doorway), '127.0.0.1:9'],
         version: '',
         isUpward: true,
         note: (text) => notes.push(text),
@@ -125,7 +125,7 @@
     }
   });
 
-  const join = async (doorway: Doorway, protocol: number) => {
+  const join = async (doorway: LinkServer, protocol: number) => {
     const link = await Link.open(doorway.address, { stamp: () => Stamp.none, age: () => 0 });
     const self = { ...entry(`child-${protocol}`), counter: 1, age: 0, via: '' };
     link.send({ kind: 'hello', self, version: '', aim: 'session', protocol });
@@ -193,7 +193,7 @@
     for (const protocol of [Protocol.none, Protocol.newest]) {
       const cut = protocol === Protocol.none ? 'position' : 'name';
       const asked: (readonly string[])[] = [];
-      const doorway = await Doorway.open({
+      const doorway = await LinkServer.open({
         address: { host: '127.0.0.1', port: 0 },
         stamp: () => Stamp.of(1, 2),
         age: () => 0,
@@ -218,7 +218,7 @@
       const uplink = Uplink.run({
         feed,
         roll: Roll.of(() => entry('child', { stamp: feed.stamp() })),
-        seeds: [Doorway.text(doorway)],
+        seeds: [LinkServer.text(doorway)],
         version: '',
         isFixed: true,
         isUpward: true,
@@ -258,7 +258,7 @@
     );
   });
   it('does not take a peer for silent when it was held up itself', async () => {
-    const doorway = await Doorway.open({
+    const doorway = await LinkServer.open({
       address: { host: '127.0.0.1', port: 0 },
       stamp: () => Stamp.none,
       age: () => 0,
--- a/test/pair.test.ts
+++ b/test/link-pair.test.ts
@@ -5,8 +5,8 @@
 import { type AddressInfo, connect, createServer, type Socket } from 'node:net';
 import { describe, it } from 'node:test';
 import { Agent } from '../src/agent/program.js';
-import { Stamp } from '../src/kinds/stamp.js';
-import { Ring } from '../src/log/ring.js';
+import { Stamp } from '../src/common/stamp.js';
+import { LogBuffer } from '../src/log/log-buffer.js';
 import type { Document } from '../src/manifest/document.js';
 import { View } from '../src/manifest/view.js';
 import { Roll } from '../src/membership/roll.js';
@@ -14,7 +14,7 @@
 import { Feed } from '../src/news/feed.js';
 import type { Frame } from '../src/wire/frame.js';
 import { Link } from '../src/wire/link.js';
-import { Pair } from '../src/wire/pair.js';
+import { LinkPair } from '../src/wire/link-pair.js';
 
 const rosterOf = (proxies: readonly string[]) =>
   ({ kind: 'roster', proxies, added: [], departed: [], digest: '', whole: true }) as const;
@@ -31,7 +31,7 @@
 
 describe('links in one process', () => {
   it('hand frames over in order, as they are, with the stamp of the sender', async () => {
-    const [a, b] = Pair.of(terms(1), terms(2), 'here');
+    const [a, b] = LinkPair.of(terms(1), terms(2), 'here');
     const view = new Uint8Array([1, 2, 3]);
     const coming = collect(b, 3);
     a.send({ kind: 'ping', age: 1 });
@@ -48,7 +48,7 @@
     assert.equal(second?.kind === 'news' && second.view, view);
   });
   it('close together, and what was sent before is still read', async () => {
-    const [a, b] = Pair.of(terms(1), terms(2), 'here');
+    const [a, b] = LinkPair.of(terms(1), terms(2), 'here');
     a.send({ kind: 'ping', age: 1 });
     a.close();
     await b.closed;
@@ -68,7 +68,7 @@
     const place = `127.0.0.1:${(seed.address() as AddressInfo).port}`;
     const agent = await Agent.start(
       { node: 'agent', zone: 'a-1', wire: '127.0.0.1:0', ops: '127.0.0.1:0', seeds: [place] },
-      Ring.of('agent'),
+      LogBuffer.of('agent'),
     );
     const feed = Feed.of();
     const roll = Roll.of(() => ({
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,16 +1,16 @@
 // What a node passes up of the nodes below it: all of them now and then, and those that changed at once, alone.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { Stamp } from '../src/kinds/stamp.js';
+import { Stamp } from '../src/common/stamp.js';
 import { View } from '../src/manifest/view.js';
 import { Children } from '../src/membership/children.js';
 import { Downlink } from '../src/membership/downlink.js';
 import { Roll } from '../src/membership/roll.js';
 import { Uplink } from '../src/membership/uplink.js';
 import { Feed } from '../src/news/feed.js';
-import { Doorway } from '../src/wire/doorway.js';
 import type { Frame } from '../src/wire/frame.js';
 import { Link } from '../src/wire/link.js';
+import { LinkServer } from '../src/wire/link-server.js';
 import { ParentKit } from './parent-kit.js';
 
 const below = 40;
@@ -46,7 +46,7 @@
     const parent = rollOf('parent');
     const rolls: (readonly Frame.Entry[])[] = [];
     let came: () => void = () => {};
-    const doorway = await Doorway.open({
+    const doorway = await LinkServer.open({
       address: { host: '127.0.0.1', port: 0 },
       stamp: () => Stamp.none,
       age: () => 0,
@@ -70,7 +70,7 @@
     const uplink = Uplink.run({
       feed,
       roll,
-      seeds: [Doorway.text(doorway)],
+      seeds: [LinkServer.text(doorway)],
       version: '',
       isFixed: true,
       isUpward: true,
@@ -121,7 +121,7 @@
     const feed = Feed.of(viewOf(1));
     const roll = rollOf('parent');
     const children = Children.of(roll);
-    const doorway = await Doorway.open({
+    const doorway = await LinkServer.open({
       address: { host: '127.0.0.1', port: 0 },
       stamp: feed.stamp,
       age: () => 0,
--- a/test/model-follows.test.ts
+++ b/test/model-follows.test.ts
@@ -2,18 +2,18 @@
 // and backup over many random cases of a fixed seed.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
+import { Epoch } from '../src/common/epoch.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Ballot } from '../src/epoch/ballot.js';
 import { Proposer } from '../src/epoch/proposer.js';
 import { Register } from '../src/epoch/register.js';
 import { Term } from '../src/epoch/term.js';
-import { Epoch } from '../src/kinds/epoch.js';
-import { Stamp } from '../src/kinds/stamp.js';
 import { Backup } from '../src/replica/backup.js';
 import type { File } from '../src/store/file.js';
 import { State } from '../src/store/state.js';
 import { Store } from '../src/store/store.js';
-import type { Courier } from '../src/wire/courier.js';
 import type { Frame } from '../src/wire/frame.js';
+import type { PeerClient } from '../src/wire/peer-client.js';
 import { Acceptor } from '../tools/model/acceptor.js';
 import { Bounds } from '../tools/model/bounds.js';
 import { Disks } from '../tools/model/disks.js';
@@ -187,7 +187,7 @@
         isAble: true,
         held: Stamp.none,
       });
-      const courier = (index: number): Courier => ({
+      const courier = (index: number): PeerClient => ({
         async ask(request) {
           if (request.kind === 'accept') sent.push(request);
           const isReached = request.kind === 'accept' ? answers[index] : reached[index];
--- a/test/nearer.test.ts
+++ b/test/nearer.test.ts
@@ -2,13 +2,13 @@
 // that never met a near one stays where it is.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { Stamp } from '../src/kinds/stamp.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Downlink } from '../src/membership/downlink.js';
 import { Places } from '../src/membership/places.js';
 import { Roll } from '../src/membership/roll.js';
 import { Uplink } from '../src/membership/uplink.js';
 import { Feed } from '../src/news/feed.js';
-import { Doorway } from '../src/wire/doorway.js';
+import { LinkServer } from '../src/wire/link-server.js';
 import { ParentKit } from './parent-kit.js';
 
 const rollOf = (node: string, program: string, zone: string) =>
@@ -33,7 +33,7 @@
       const roll = rollOf(node, 'control', zone);
       const age = () => ages[node];
       const feed = Feed.of();
-      return Doorway.open({
+      return LinkServer.open({
         address: { host: '127.0.0.1', port: 0 },
         stamp: feed.stamp,
         age,
@@ -52,7 +52,7 @@
     const uplink = Uplink.run({
       feed: Feed.of(),
       roll: rollOf('agent', 'agent', 'a-1'),
-      seeds: [Doorway.text(near), Doorway.text(far)],
+      seeds: [LinkServer.text(near), LinkServer.text(far)],
       version: '',
       isUpward: true,
       onParent({ node }) {
--- a/test/courier.test.ts
+++ b/test/peer-client.test.ts
@@ -2,16 +2,16 @@
 import assert from 'node:assert/strict';
 import { connect, createServer, Socket } from 'node:net';
 import { describe, it } from 'node:test';
+import { Epoch } from '../src/common/epoch.js';
+import { Listen } from '../src/common/listen.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Desk } from '../src/control/desk.js';
 import type { Proposer } from '../src/epoch/proposer.js';
 import type { Register } from '../src/epoch/register.js';
-import { Epoch } from '../src/kinds/epoch.js';
-import { Listen } from '../src/kinds/listen.js';
-import { Stamp } from '../src/kinds/stamp.js';
 import type { Backup } from '../src/replica/backup.js';
-import { Courier } from '../src/wire/courier.js';
 import { Frame } from '../src/wire/frame.js';
 import { Link } from '../src/wire/link.js';
+import { PeerClient } from '../src/wire/peer-client.js';
 
 describe('a courier', () => {
   it('carries a request over a link on which nothing was heard yet, and is up only after', async () => {
@@ -30,7 +30,7 @@
     const standing = new Promise<void>((resolve) => {
       stands = resolve;
     });
-    const courier = Courier.run({
+    const courier = PeerClient.run({
       place: `${at.host}:${at.port}`,
       stamp: () => Stamp.none,
       age: () => 0,
@@ -106,7 +106,7 @@
     const standing = new Promise<void>((resolve) => {
       stands = resolve;
     });
-    const courier = Courier.run({
+    const courier = PeerClient.run({
       place: `${at.host}:${at.port}`,
       stamp: () => Stamp.none,
       age: () => 0,
--- a/test/platform-kit.ts
+++ b/test/platform-kit.ts
@@ -5,7 +5,7 @@
 import { join } from 'node:path';
 import { request } from 'undici';
 import { stringify } from 'yaml';
-import { Ident } from '../src/kinds/ident.js';
+import { Id } from '../src/common/id.js';
 import type { View } from '../src/manifest/view.js';
 import { Roll } from '../src/membership/roll.js';
 import { Uplink } from '../src/membership/uplink.js';
@@ -180,7 +180,7 @@
       ready: false,
       vouched: false,
     }));
-    const boot = Ident.boot();
+    const boot = Id.boot();
     const uplink = Uplink.run({
       feed,
       roll,
--- a/test/quota-changes.test.ts
+++ b/test/quota-changes.test.ts
@@ -2,28 +2,28 @@
 // second speaks for the others; and all again to a new holder, to one that does not answer, and to an earlier one.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
+import type { Id } from '../src/common/id.js';
+import { Instant } from '../src/common/instant.js';
 import { QuotaDuty } from '../src/duty/quota-duty.js';
-import type { Ident } from '../src/kinds/ident.js';
-import { Moment } from '../src/kinds/moment.js';
 import { Quotas } from '../src/proxy/quotas.js';
 import { Random } from '../tools/random.js';
 
 const quota = { span: 60_000, requests: 100 };
 const teams = 30;
-const nameOf = (index: number) => `team-${index}` as Ident.Team;
+const nameOf = (index: number) => `team-${index}` as Id.Team;
 const listening = 1200;
 const silentAfter = 3000;
 const tendEvery = 500;
 
 const turn = () => new Promise<void>((resolve) => setImmediate(resolve));
 const lasting = async (span: number, work: () => void) => {
-  for (const began = Moment.now(); Moment.since(began) < span; await turn()) work();
+  for (const began = Instant.now(); Instant.since(began) < span; await turn()) work();
 };
 const everyHalfSecond = async (span: number, work: () => void) => {
-  let next = Moment.after(tendEvery);
+  let next = Instant.after(tendEvery);
   await lasting(span, () => {
-    if (!Moment.isPast(next)) return;
-    next = Moment.after(tendEvery, next);
+    if (!Instant.isPast(next)) return;
+    next = Instant.after(tendEvery, next);
     work();
   });
 };
--- a/test/quota-holder.test.ts
+++ b/test/quota-holder.test.ts
@@ -2,9 +2,9 @@
 // alone: it grants nothing beyond the even parts, until all were heard or the span is over, and asks those on its roster.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
+import type { Id } from '../src/common/id.js';
+import { Instant } from '../src/common/instant.js';
 import { QuotaDuty } from '../src/duty/quota-duty.js';
-import type { Ident } from '../src/kinds/ident.js';
-import { Moment } from '../src/kinds/moment.js';
 import { Quotas } from '../src/proxy/quotas.js';
 
 const requests = 30;
@@ -47,17 +47,17 @@
     });
   const proxies: Record<Name, Quotas> = { a: proxyOf('a'), b: proxyOf('b'), c: proxyOf('c') };
   const lasting = async (time: number) => {
-    let next = Moment.now();
-    for (const began = Moment.now(); Moment.since(began) < time; await turn()) {
-      if (!Moment.isPast(next)) continue;
-      next = Moment.after(tendEvery, next);
+    let next = Instant.now();
+    for (const began = Instant.now(); Instant.since(began) < time; await turn()) {
+      if (!Instant.isPast(next)) continue;
+      next = Instant.after(tendEvery, next);
       for (const name of names) proxies[name].tend();
     }
   };
   const admit = async (node: Name, count: number) => {
     for (let done = 0; done < count; done += 1) {
       const verdict = await proxies[node].admit(
-        { name: 'team' as Ident.Team, home: undefined, homes: undefined, quota },
+        { name: 'team' as Id.Team, home: undefined, homes: undefined, quota },
         1,
       );
       if (verdict.kind === 'in') admitted[node] += 1;
--- a/test/quota-questions.test.ts
+++ b/test/quota-questions.test.ts
@@ -2,13 +2,13 @@
 // question for them tells of their teams alone, and twice a second all teams are told of.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import type { Ident } from '../src/kinds/ident.js';
-import { Moment } from '../src/kinds/moment.js';
+import type { Id } from '../src/common/id.js';
+import { Instant } from '../src/common/instant.js';
 import { Quotas } from '../src/proxy/quotas.js';
 import type { Frame } from '../src/wire/frame.js';
 
 const teams = 8;
-const nameOf = (index: number) => `team-${index}` as Ident.Team;
+const nameOf = (index: number) => `team-${index}` as Id.Team;
 const quota = { span: 60_000, requests: 1000 };
 const young = 5000;
 
@@ -68,7 +68,7 @@
   });
   it('tells of what it let in alone for want of an answer, and no more of it as waiting', async () => {
     const { asked, admit, setUp } = lay({ life: true });
-    for (const began = Moment.now(); Moment.since(began) < young; await turn());
+    for (const began = Instant.now(); Instant.since(began) < young; await turn());
     assert.equal((await admit(0)).kind, 'in');
     setUp(false);
     const before = asked.length;
--- a/test/register.test.ts
+++ b/test/register.test.ts
@@ -5,14 +5,14 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { after, describe, it } from 'node:test';
+import { Epoch } from '../src/common/epoch.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Proposer } from '../src/epoch/proposer.js';
 import { Register } from '../src/epoch/register.js';
 import { Term } from '../src/epoch/term.js';
-import { Epoch } from '../src/kinds/epoch.js';
-import { Stamp } from '../src/kinds/stamp.js';
 import { File } from '../src/store/file.js';
-import type { Courier } from '../src/wire/courier.js';
 import type { Frame } from '../src/wire/frame.js';
+import type { PeerClient } from '../src/wire/peer-client.js';
 
 type Member = {
   readonly register: Register;
@@ -37,7 +37,7 @@
 const group = async (count: number, listed = count) => {
   const members: Member[] = [];
   const lost = new Set<string>();
-  const courier = (from: number, to: number): Courier => ({
+  const courier = (from: number, to: number): PeerClient => ({
     async ask(request) {
       const { register, proposer } = members[to]!;
       if (lost.has(`${from}>${to}`) || lost.has(`${from}>${to} ${request.kind}`)) throw new Error('lost');
--- a/test/repair.test.ts
+++ b/test/repair.test.ts
@@ -2,9 +2,9 @@
 // meant, and a copy that cannot be mended is never taken.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { Epoch } from '../src/kinds/epoch.js';
-import { Revision } from '../src/kinds/revision.js';
-import { Stamp } from '../src/kinds/stamp.js';
+import { Epoch } from '../src/common/epoch.js';
+import { Revision } from '../src/common/revision.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Compiled } from '../src/manifest/compiled.js';
 import { View } from '../src/manifest/view.js';
 import { Feed } from '../src/news/feed.js';
--- a/test/replica-kit.ts
+++ b/test/replica-kit.ts
@@ -5,14 +5,14 @@
 import { createServer, connect as dial, type Server, type Socket } from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
+import { Epoch } from '../src/common/epoch.js';
+import { Listen } from '../src/common/listen.js';
+import { Mutex } from '../src/common/mutex.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Desk } from '../src/control/desk.js';
 import { Proposer } from '../src/epoch/proposer.js';
 import { Register } from '../src/epoch/register.js';
 import type { Term } from '../src/epoch/term.js';
-import { Epoch } from '../src/kinds/epoch.js';
-import { Listen } from '../src/kinds/listen.js';
-import { Stamp } from '../src/kinds/stamp.js';
-import { Turns } from '../src/kinds/turns.js';
 import type { Document } from '../src/manifest/document.js';
 import { Backup } from '../src/replica/backup.js';
 import { Primary } from '../src/replica/primary.js';
@@ -20,9 +20,9 @@
 import { File } from '../src/store/file.js';
 import { State } from '../src/store/state.js';
 import type { Store } from '../src/store/store.js';
-import { Courier } from '../src/wire/courier.js';
 import type { Frame } from '../src/wire/frame.js';
 import { Link } from '../src/wire/link.js';
+import { PeerClient } from '../src/wire/peer-client.js';
 import { Bench } from './bench.js';
 
 export type ReplicaKit = {
@@ -54,7 +54,7 @@
     proposer: Proposer;
     readonly meter: TransferMeter;
     readonly self: () => Frame.Core;
-    readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
     /** Runs before each write of the store. */
     beforeWrite: () => Promise<void>;
     /** Runs before the machine asks the others to accept a term, or accepts one itself. */
@@ -142,7 +142,7 @@
 
 /** A store whose disk syncs at once, so that a busy machine's real one is not mistaken for a failed one. */
 const storeOf = (disk: { state: State }, beforeWrite: () => Promise<void>, file: File): Store => {
-  const turns = Turns.of();
+  const turns = Mutex.of();
   return {
     state: () => disk.state,
     isSound: () => true,
@@ -165,7 +165,7 @@
 const machineOf = async (
   folder: string,
   node: string,
-  couriers: Map<string, Courier>,
+  couriers: Map<string, PeerClient>,
 ): Promise<{ machine: ReplicaKit.Machine; stop: () => Promise<void> }> => {
   let data = join(folder, node);
   let lives = 0;
@@ -299,7 +299,7 @@
   async start(count: number): Promise<ReplicaKit> {
     const folder = mkdtempSync(join(tmpdir(), 'bramblebend-replica-'));
     const machines: ReplicaKit.Machine[] = [];
-    const couriers = new Map<string, Courier>();
+    const couriers = new Map<string, PeerClient>();
     const stops: (() => Promise<void>)[] = [];
     for (let index = 0; index < count; index += 1) {
       const made = await machineOf(folder, `core-${index + 1}`, couriers);
@@ -311,7 +311,7 @@
     for (const { relay } of others)
       couriers.set(
         relay.place,
-        Courier.run({ place: relay.place, stamp: () => Stamp.none, age: () => 0, hello: () => hello }),
+        PeerClient.run({ place: relay.place, stamp: () => Stamp.none, age: () => 0, hello: () => hello }),
       );
     const running: Primary[] = [];
     const allUp = async () => {
--- a/test/replication.test.ts
+++ b/test/replication.test.ts
@@ -2,10 +2,10 @@
 // stands behind is sent.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
+import { Epoch } from '../src/common/epoch.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Ballot } from '../src/epoch/ballot.js';
 import type { Term } from '../src/epoch/term.js';
-import { Epoch } from '../src/kinds/epoch.js';
-import { Stamp } from '../src/kinds/stamp.js';
 import { ChangeLog } from '../src/replica/change-log.js';
 import { Follower } from '../src/replica/follower.js';
 import type { Followers } from '../src/replica/followers.js';
--- a/test/rolls.test.ts
+++ b/test/rolls.test.ts
@@ -2,15 +2,15 @@
 // were not heard of go on ageing, and whoever holds something else is told the whole.
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
-import { Stamp } from '../src/kinds/stamp.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Downlink } from '../src/membership/downlink.js';
 import { Roll } from '../src/membership/roll.js';
 import { Roster } from '../src/membership/roster.js';
 import { Uplink } from '../src/membership/uplink.js';
 import { Feed } from '../src/news/feed.js';
-import { Doorway } from '../src/wire/doorway.js';
 import type { Frame } from '../src/wire/frame.js';
 import { Link } from '../src/wire/link.js';
+import { LinkServer } from '../src/wire/link-server.js';
 import { Protocol } from '../src/wire/protocol.js';
 import { ParentKit } from './parent-kit.js';
 
@@ -111,7 +111,7 @@
   const roster = Roster.of();
   const counts = new Map<string, number>();
   let came: () => void = () => {};
-  let doorway: Doorway;
+  let doorway: LinkServer;
   const met = (isMet: () => boolean) =>
     new Promise<void>((resolve) => {
       came = () => {
@@ -129,7 +129,7 @@
     }
   }
   before(async () => {
-    doorway = await Doorway.open({
+    doorway = await LinkServer.open({
       address: { host: '127.0.0.1', port: 0 },
       stamp: feed.stamp,
       age: () => 0,
@@ -154,7 +154,7 @@
     const uplink = Uplink.run({
       feed: Feed.of(),
       roll: child,
-      seeds: [Doorway.text(doorway)],
+      seeds: [LinkServer.text(doorway)],
       version: '',
       isFixed: true,
       isUpward: true,
@@ -229,7 +229,7 @@
     const uplink = Uplink.run({
       feed: Feed.of(),
       roll: rollOf('listener'),
-      seeds: [Doorway.text(doorway)],
+      seeds: [LinkServer.text(doorway)],
       version: '',
       isFixed: true,
       isUpward: true,
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -10,23 +10,23 @@
 const root = fileURLToPath(new URL('../../', import.meta.url));
 
 const may: Readonly<Record<string, readonly string[]>> = {
-  kinds: [],
-  log: ['kinds'],
-  wire: ['kinds'],
-  manifest: ['kinds'],
-  startup: ['kinds', 'log'],
-  store: ['kinds', 'manifest'],
-  epoch: ['kinds', 'wire', 'store'],
-  news: ['kinds', 'manifest', 'wire'],
-  repair: ['kinds', 'manifest'],
-  membership: ['kinds', 'wire', 'manifest', 'news', 'repair'],
-  duty: ['kinds', 'wire', 'manifest'],
-  upstream: ['kinds', 'manifest', 'duty'],
-  replica: ['kinds', 'wire', 'store', 'epoch'],
-  proxy: ['kinds', 'log', 'startup', 'manifest', 'membership', 'news', 'upstream', 'duty', 'repair', 'wire'],
-  agent: ['kinds', 'log', 'startup', 'manifest', 'membership', 'news', 'wire', 'duty', 'repair'],
+  common: [],
+  log: ['common'],
+  wire: ['common'],
+  manifest: ['common'],
+  startup: ['common', 'log'],
+  store: ['common', 'manifest'],
+  epoch: ['common', 'wire', 'store'],
+  news: ['common', 'manifest', 'wire'],
+  repair: ['common', 'manifest'],
+  membership: ['common', 'wire', 'manifest', 'news', 'repair'],
+  duty: ['common', 'wire', 'manifest'],
+  upstream: ['common', 'manifest', 'duty'],
+  replica: ['common', 'wire', 'store', 'epoch'],
+  proxy: ['common', 'log', 'startup', 'manifest', 'membership', 'news', 'upstream', 'duty', 'repair', 'wire'],
+  agent: ['common', 'log', 'startup', 'manifest', 'membership', 'news', 'wire', 'duty', 'repair'],
   control: [
-    'kinds',
+    'common',
     'log',
     'startup',
     'manifest',
@@ -39,8 +39,8 @@
     'duty',
     'repair',
   ],
-  cli: ['kinds', 'manifest', 'startup'],
-  bin: ['kinds', 'startup', 'proxy', 'agent', 'control', 'cli'],
+  cli: ['common', 'manifest', 'startup'],
+  bin: ['common', 'startup', 'proxy', 'agent', 'control', 'cli'],
 };
 
 const listFiles = (folder: string): string[] =>
@@ -200,7 +200,7 @@
     const breaches = [...sources, ...adapter].flatMap((file) => {
       const text = read(file);
       const starts = /child_process|worker_threads|\bcluster\b.*from/.test(text);
-      const isLog = relative(root, file) === 'src/log/ring.ts';
+      const isLog = relative(root, file) === 'src/log/log-buffer.ts';
       const withoutStamp = isLog ? text.replace('timestamp = new Date().toISOString();', '') : text;
       const clock = /Date\.now\(|new Date\(\)/.test(withoutStamp) && !clockReaders.test(file);
       return starts || clock ? [relative(root, file)] : [];
--- a/test/store-snapshots.test.ts
+++ b/test/store-snapshots.test.ts
@@ -5,8 +5,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { after, afterEach, describe, it } from 'node:test';
-import type { Ident } from '../src/kinds/ident.js';
-import { Stamp } from '../src/kinds/stamp.js';
+import type { Id } from '../src/common/id.js';
+import { Stamp } from '../src/common/stamp.js';
 import type { Document } from '../src/manifest/document.js';
 import { Records } from '../src/store/records.js';
 import { Seal } from '../src/store/seal.js';
@@ -122,7 +122,7 @@
       store.take({
         kind: 'evacuations',
         stamp: Stamp.of(store.state().stamp.epoch, next(store)),
-        zones: zones as Ident.Zone[],
+        zones: zones as Id.Zone[],
         ...told,
       });
     const view = {
--- a/test/ticker.test.ts
+++ b/test/ticker.test.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, describe, it, mock } from 'node:test';
 import fc from 'fast-check';
-import { Ticker } from '../src/kinds/ticker.js';
+import { Ticker } from '../src/common/ticker.js';
 import { ManualClock } from './manual-clock.js';
 
 /** The width of the grid's slots, and that with what a timer may be early by, in milliseconds. */
--- a/test/word-age.test.ts
+++ b/test/word-age.test.ts
@@ -6,9 +6,9 @@
 import { type AddressInfo, createServer, type Socket } from 'node:net';
 import { describe, it } from 'node:test';
 import { Agent } from '../src/agent/program.js';
-import { Address } from '../src/kinds/address.js';
-import { Stamp } from '../src/kinds/stamp.js';
-import { Ring } from '../src/log/ring.js';
+import { Address } from '../src/common/address.js';
+import { Stamp } from '../src/common/stamp.js';
+import { LogBuffer } from '../src/log/log-buffer.js';
 import { Link } from '../src/wire/link.js';
 
 const terms = { stamp: () => Stamp.none, age: () => 0 };
@@ -22,7 +22,7 @@
     const seeds = [`127.0.0.1:${(core.address() as AddressInfo).port}`];
     const agent = await Agent.start(
       { node: 'agent', zone: 'a-1', wire: '127.0.0.1:0', ops: '127.0.0.1:0', seeds },
-      Ring.of('agent'),
+      LogBuffer.of('agent'),
     );
     const [socket] = (await once(core, 'connection')) as [Socket];
     const above = Link.over(socket, { ...terms, pingEvery: 60_000, silence: 60_000 });
--- a/test/word.test.ts
+++ b/test/word.test.ts
@@ -2,14 +2,14 @@
 // that starts empty serves nothing before it hears it.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { Stamp } from '../src/kinds/stamp.js';
+import { Stamp } from '../src/common/stamp.js';
 import { View } from '../src/manifest/view.js';
 import { Downlink } from '../src/membership/downlink.js';
 import { Roll } from '../src/membership/roll.js';
 import { Feed } from '../src/news/feed.js';
-import { Doorway } from '../src/wire/doorway.js';
 import type { Frame } from '../src/wire/frame.js';
 import { Link } from '../src/wire/link.js';
+import { LinkServer } from '../src/wire/link-server.js';
 import { ParentKit } from './parent-kit.js';
 
 const viewOf = (revision: number) => {
@@ -60,7 +60,7 @@
     const feed = Feed.of(viewOf(1));
     const roll = rollOf('parent');
     let age = 1;
-    const doorway = await Doorway.open({
+    const doorway = await LinkServer.open({
       address: { host: '127.0.0.1', port: 0 },
       stamp: feed.stamp,
       age: () => age,
@@ -98,7 +98,7 @@
     const feed = Feed.of(viewOf(1));
     const roll = rollOf('second');
     let isFirstHand = false;
-    const doorway = await Doorway.open({
+    const doorway = await LinkServer.open({
       address: { host: '127.0.0.1', port: 0 },
       stamp: feed.stamp,
       age: () => 0,
--- a/tools/bench/state.ts
+++ b/tools/bench/state.ts
@@ -7,7 +7,7 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { deflateRawSync } from 'node:zlib';
-import { Stamp } from '../../src/kinds/stamp.js';
+import { Stamp } from '../../src/common/stamp.js';
 import type { Document } from '../../src/manifest/document.js';
 import { State } from '../../src/store/state.js';
 import { Store } from '../../src/store/store.js';
--- a/tools/experiment/front.ts
+++ b/tools/experiment/front.ts
@@ -3,9 +3,9 @@
  * proxy wires them, over a network that the experiment gives. This file is bundled, and run by the script alone.
  */
 
+import { Instant } from '../../src/common/instant.js';
+import { Timer } from '../../src/common/timer.js';
 import { Purse } from '../../src/duty/purse.js';
-import { Moment } from '../../src/kinds/moment.js';
-import { Timer } from '../../src/kinds/timer.js';
 import { Compiled } from '../../src/manifest/compiled.js';
 import type { View } from '../../src/manifest/view.js';
 import { Budget } from '../../src/upstream/budget.js';
@@ -159,7 +159,7 @@
 /** One request on its way through a proxy. */
 class Serving {
   private readonly rule: Compiled.Rule;
-  private readonly deadline: Moment;
+  private readonly deadline: Instant;
   private readonly tried: string[] = [];
 
   constructor(
@@ -168,7 +168,7 @@
     private readonly request: Front.Request,
   ) {
     this.rule = compiled().rules.find(({ name }) => name === request.rule)!;
-    this.deadline = Moment.after(Math.min(request.left, this.rule.timeouts.total));
+    this.deadline = Instant.after(Math.min(request.left, this.rule.timeouts.total));
   }
 
   async serve(): Promise<Front.Answer> {
@@ -238,15 +238,15 @@
     const weight = rule.aim === undefined ? request.want.bytes : placed.uncached;
     const job = parts.inFlight.begin(instance, weight);
     const watch = this.watchSilence(pick);
-    let sentAt = Moment.now();
+    let sentAt = Instant.now();
     const trial = await request.run({
       pick,
-      left: Moment.left(deadline),
+      left: Instant.left(deadline),
       signal: request.signal,
       after,
       job,
       onSend() {
-        sentAt = Moment.now();
+        sentAt = Instant.now();
         place.sent();
       },
       onPiece(span) {
@@ -261,7 +261,7 @@
     if (trial.kind === 'stream') {
       watch.began();
       job.toDecode();
-      placed.answered(Moment.since(sentAt));
+      placed.answered(Instant.since(sentAt));
       ends.set(trial, watch.stop);
     } else {
       watch.stop();
--- a/tools/fuzz/lab.ts
+++ b/tools/fuzz/lab.ts
@@ -3,8 +3,8 @@
 // out; the manifest and the list of servers are handed in.
 import type { AddressInfo, Socket } from 'node:net';
 import { connect, createServer } from 'node:net';
-import type { Guard } from '../../src/kinds/guard.js';
-import { Stamp } from '../../src/kinds/stamp.js';
+import type { Guard } from '../../src/common/guard.js';
+import { Stamp } from '../../src/common/stamp.js';
 import { Compiled } from '../../src/manifest/compiled.js';
 import { Document } from '../../src/manifest/document.js';
 import { Dialect } from '../../src/proxy/dialect.js';
--- a/tools/model/acceptor.ts
+++ b/tools/model/acceptor.ts
@@ -1,9 +1,10 @@
 // What a core does with a request to its register or to its copy of the state. The register's rules are the
 // product's own pure functions; the backup's follow `src/replica/backup.ts`, and a test compares the two.
+
+import { Epoch } from '../../src/common/epoch.js';
+import { Stamp } from '../../src/common/stamp.js';
 import { Acceptor as Rules } from '../../src/epoch/acceptor.js';
 import type { Ballot } from '../../src/epoch/ballot.js';
-import { Epoch } from '../../src/kinds/epoch.js';
-import { Stamp } from '../../src/kinds/stamp.js';
 import type { Plant } from './bounds.js';
 import { Disks } from './disks.js';
 import { type Content, type KnownTerm, Tables } from './tables.js';
--- a/tools/model/invariants.ts
+++ b/tools/model/invariants.ts
@@ -1,6 +1,6 @@
 // What must never happen, judged by an observer of all machines: on each acknowledgement, on each answer that a
 // majority confirms, and in each state.
-import { Stamp } from '../../src/kinds/stamp.js';
+import { Stamp } from '../../src/common/stamp.js';
 import type { Bounds } from './bounds.js';
 import type { Content } from './tables.js';
 import type { World } from './world.js';
--- a/tools/model/register-steps.ts
+++ b/tools/model/register-steps.ts
@@ -1,10 +1,10 @@
 // Steps of the register: a core takes over, an accept request arrives, a proposer learns that its term is chosen or
 // gives up, a ballot is promised that nobody counts, and the cores form anew.
 
+import { Epoch } from '../../src/common/epoch.js';
 import { Forming } from '../../src/control/forming.js';
 import type { Proposer } from '../../src/epoch/proposer.js';
 import { Term } from '../../src/epoch/term.js';
-import { Epoch } from '../../src/kinds/epoch.js';
 import { Acceptor } from './acceptor.js';
 import { Disks } from './disks.js';
 import { Proposing } from './proposing.js';
--- a/tools/model/replication-steps.ts
+++ b/tools/model/replication-steps.ts
@@ -1,9 +1,10 @@
 // Steps of replication, as in `src/replica`: a primary begins a change, its own disk and the backups sync it, it is
 // acknowledged, and the set in sync or the epoch is changed when a backup does not confirm. A request to a backup
 // and its answer are one step; that the primary acts on the answer later, or never, is left to the other steps.
+
+import { Epoch } from '../../src/common/epoch.js';
+import { Stamp } from '../../src/common/stamp.js';
 import { Term } from '../../src/epoch/term.js';
-import { Epoch } from '../../src/kinds/epoch.js';
-import { Stamp } from '../../src/kinds/stamp.js';
 import { InSyncSet } from '../../src/replica/in-sync-set.js';
 import { Acceptor } from './acceptor.js';
 import type { Plant } from './bounds.js';
--- a/tools/model/tables.ts
+++ b/tools/model/tables.ts
@@ -1,8 +1,9 @@
 // Terms, ballots and contents are made once each, so that they are compared by identity and kept in a packed
 // state as small numbers.
+
+import { Stamp } from '../../src/common/stamp.js';
 import { Ballot } from '../../src/epoch/ballot.js';
 import { Term } from '../../src/epoch/term.js';
-import { Stamp } from '../../src/kinds/stamp.js';
 import { Disks } from './disks.js';
 
 /** A term of the product with what the model asks of it often. */
--- a/tools/model/world.ts
+++ b/tools/model/world.ts
@@ -1,8 +1,9 @@
 // One state of the model: the machines with what lies on their disks and what only their processes know, the
 // requests that may still arrive, and what an observer of all of it has seen. A request that is lost never
 // arrives; one that is late or doubled arrives at any time while it could still change something.
+
+import { Epoch } from '../../src/common/epoch.js';
 import { Ballot } from '../../src/epoch/ballot.js';
-import { Epoch } from '../../src/kinds/epoch.js';
 import type { Bounds } from './bounds.js';
 import { Disks } from './disks.js';
 import { type Content, type KnownTerm, Tables } from './tables.js';
--- a/tools/scale/documents.ts
+++ b/tools/scale/documents.ts
@@ -1,6 +1,6 @@
 /** Puts the documents of a scale run in force, as operators and the platform do, until they are taken. */
 import { setTimeout as pause } from 'node:timers/promises';
-import type { Stamp } from '../../src/kinds/stamp.js';
+import type { Stamp } from '../../src/common/stamp.js';
 import { Counts } from './counts.js';
 import type { Stage } from './stage.js';
 import type { World } from './world.js';
--- a/tools/scale/machines.ts
+++ b/tools/scale/machines.ts
@@ -5,7 +5,7 @@
 import { readFileSync } from 'node:fs';
 import { setTimeout as pause } from 'node:timers/promises';
 import { request } from 'undici';
-import { Stamp } from '../../src/kinds/stamp.js';
+import { Stamp } from '../../src/common/stamp.js';
 import type { Process } from '../process.js';
 import { Counts } from './counts.js';
 
--- a/tools/scale/parts.ts
+++ b/tools/scale/parts.ts
@@ -1,7 +1,8 @@
 // What reading, checking, cutting, mending and compiling documents of a size costs one node, without any network:
 // node dist/tools/scale/parts.js prints the median of some rounds in milliseconds, and the sizes in bytes.
+
+import { Stamp } from '../../src/common/stamp.js';
 import { Rights } from '../../src/control/rights.js';
-import { Stamp } from '../../src/kinds/stamp.js';
 import { Check } from '../../src/manifest/check.js';
 import { Compiled } from '../../src/manifest/compiled.js';
 import { View } from '../../src/manifest/view.js';
--- a/tools/simulation/program.ts
+++ b/tools/simulation/program.ts
@@ -1,14 +1,14 @@
 // What is bundled and run in each simulated process: the control program itself, with paths for numbered orders beside
 // its own interface, and a look at what a data folder would remember if it were opened now.
 import { Hono } from 'hono';
+import { Ticker } from '../../src/common/ticker.js';
 import { PutNumbered } from '../../src/control/commands/put-numbered.js';
 import { Folder } from '../../src/control/folder.js';
 import { Control } from '../../src/control/program.js';
 import { ReadSource } from '../../src/control/queries/read-source.js';
 import { Responses } from '../../src/control/responses.js';
 import { Register } from '../../src/epoch/register.js';
-import { Ticker } from '../../src/kinds/ticker.js';
-import type { Ring } from '../../src/log/ring.js';
+import type { LogBuffer } from '../../src/log/log-buffer.js';
 import type { Document } from '../../src/manifest/document.js';
 import type { Program as Running } from '../../src/startup/program.js';
 import type { Startup } from '../../src/startup/startup.js';
@@ -29,7 +29,7 @@
 }
 
 export const Program = {
-  start(startup: Startup['control'], ring: Ring): Promise<Running> {
+  start(startup: Startup['control'], ring: LogBuffer): Promise<Running> {
     Ticker.clear();
     return Control.start(startup, ring, {
       operators({ office, order }) {
