--- a/src/agent/program.ts
+++ b/src/agent/program.ts
@@ -27,13 +27,13 @@
 export declare namespace Agent {
   /** Without a feed address the proxy is in this process and comes by `join`. */
   type Startup = Omit<Settings['agent'], 'feed'> & { readonly feed?: string };
-  type Running = Program & { readonly join: (terms: Link.Terms) => Link };
+  type Running = Program & { readonly join: (terms: Link.Options) => Link };
 }
 
 export const Agent: Agent = {
   async start(startup, ring) {
     const feed = Feed.of();
-    const voucher = Voucher.of(feed, () => ring.note('vouched for', { stamp: feed.stamp() }));
+    const voucher = Voucher.of(feed, () => ring.info('vouched for', { stamp: feed.stamp() }));
     const boot = Id.boot();
     let wire = '';
     let depth = 1;
@@ -56,7 +56,7 @@
     const children = Children.of(roll);
     const turns = Turns.of();
     const roster = Roster.of();
-    const serve: LinkServer.Needs['serve'] = (link, hello, frames) =>
+    const serve: LinkServer.Options['serve'] = (link, hello, frames) =>
       Downlink.serve(link, hello, frames, {
         feed,
         roll,
@@ -72,10 +72,10 @@
         age: feed.age,
         onTokens: ({ stamp: _stamp, ...body }) => void uplink.send(body),
       });
-    const terms = { stamp: feed.stamp, age: feed.age, isSteady: true, serve, note: ring.note };
+    const terms = { stamp: feed.stamp, age: feed.age, pingsWhenBusy: true, serve, note: ring.info };
     const doorway = await LinkServer.open({ ...terms, address: Address.checked(startup.wire) });
     wire = LinkServer.text(doorway);
-    const serveProxy: LinkServer.Needs['serve'] = (link, hello, frames) => {
+    const serveProxy: LinkServer.Options['serve'] = (link, hello, frames) => {
       if (hello.self.vouched) voucher.promise(hello.stamp);
       return serve(link, hello, frames);
     };
@@ -103,7 +103,7 @@
         depth = parent.depth + 1;
       },
       onTokens: ({ stamp: _stamp, ...body }) => void children.send(body.node, body),
-      note: ring.note,
+      note: ring.info,
     });
     const metrics = Metrics.of();
     const { gauge } = metrics;
@@ -113,9 +113,9 @@
     gauge(
       'links_dropped',
       'links closed for what they sent',
-      () => doorway.refused() + (inner?.refused() ?? 0),
+      () => doorway.refusedCount() + (inner?.refusedCount() ?? 0),
     );
-    gauge('frames_unknown', 'frames dropped since their kind is not known here', Frame.unknown);
+    gauge('frames_unknown', 'frames dropped since their kind is not known here', Frame.unknownCount);
     gauge('news_dropped', 'news dropped as not newer', feed.ignored);
     const ops = Ops.of({
       isReady: () => (isDraining ? 'draining' : undefined),
--- a/src/common/guard.ts
+++ b/src/common/guard.ts
@@ -36,7 +36,7 @@
 };
 
 export const Guard = {
-  text:
+  string:
     <T extends string = string>(limits: Limits = {}): Guard<T> =>
     (value, place, findings): value is T => {
       if (typeof value !== 'string') return report(findings, place, 'must be a text');
@@ -46,7 +46,7 @@
         return report(findings, place, `must be ${limits.as ?? `like ${limits.like}`}`);
       return true;
     },
-  whole:
+  integer:
     <T extends number = number>(range: Range = {}): Guard<T> =>
     (value, place, findings): value is T =>
       Number.isSafeInteger(value)
@@ -58,7 +58,7 @@
       Number.isFinite(value)
         ? checkNumber(value, place, findings, range)
         : report(findings, place, 'must be a number'),
-  flag: ((value, place, findings): value is boolean =>
+  boolean: ((value, place, findings): value is boolean =>
     typeof value === 'boolean' || report(findings, place, 'must be true or false')) as Guard<boolean>,
   oneOf:
     <const T extends string>(...choices: readonly T[]): Guard<T> =>
@@ -75,7 +75,10 @@
       return value.map((entry, index) => each(entry, at(place, String(index)), findings)).every(Boolean);
     },
   map:
-    <T>(each: Guard<T>, key: Guard<string> = Guard.text({ max: 128 })): Guard<Readonly<Record<string, T>>> =>
+    <T>(
+      each: Guard<T>,
+      key: Guard<string> = Guard.string({ max: 128 }),
+    ): Guard<Readonly<Record<string, T>>> =>
     (value, place, findings): value is Readonly<Record<string, T>> => {
       if (!isRecord(value)) return report(findings, place, 'must be an object');
       return Object.entries(value)
@@ -85,7 +88,7 @@
         })
         .every(Boolean);
     },
-  record:
+  strictObject:
     <R extends Guard.Shape, O extends Guard.Shape = Record<never, never>>(
       required: R,
       optional: O = {} as O,
@@ -103,7 +106,7 @@
         if (value[key] !== undefined) isGood = guard(value[key], at(place, key), findings) && isGood;
       return isGood;
     },
-  fields:
+  looseObject:
     <R extends Guard.Shape, O extends Guard.Shape = Record<never, never>>(
       required: R,
       optional: O = {} as O,
@@ -113,7 +116,7 @@
       const isKnown = ([key]: [string, unknown]) =>
         Object.hasOwn(required, key) || Object.hasOwn(optional, key);
       const known = Object.fromEntries(Object.entries(value).filter(isKnown));
-      return Guard.record(required, optional)(known, place, findings);
+      return Guard.strictObject(required, optional)(known, place, findings);
     },
   address: ((value, place, findings): value is string =>
     (typeof value === 'string' && Address.parse(value) !== undefined) ||
--- a/src/common/instant.ts
+++ b/src/common/instant.ts
@@ -14,7 +14,7 @@
   now: (): Instant => now() as Instant,
   after: (span: number, from: Instant = Instant.now()): Instant => (from + span) as Instant,
   since: (from: Instant): number => now() - from,
-  left: (until: Instant): number => until - now(),
+  remaining: (until: Instant): number => until - now(),
   isPast: (until: Instant): boolean => now() >= until,
   earliest: (a: Instant, b: Instant): Instant => (a < b ? a : b),
   never: Number.POSITIVE_INFINITY as Instant,
--- a/src/common/latch.ts
+++ b/src/common/latch.ts
@@ -2,16 +2,16 @@
 import { Timer } from './timer.js';
 
 export type Latch = {
-  readonly ring: () => void;
-  readonly within: (span: number) => Promise<void>;
+  readonly release: () => void;
+  readonly wait: (span: number) => Promise<void>;
 };
 
 export const Latch = {
   of(): Latch {
     const rung = new AbortController();
     return {
-      ring: () => rung.abort(),
-      within: (span) => Timer.pause(span, rung.signal),
+      release: () => rung.abort(),
+      wait: (span) => Timer.sleep(span, rung.signal),
     };
   },
 };
--- a/src/common/state-machine.ts
+++ b/src/common/state-machine.ts
@@ -2,7 +2,7 @@
 // change that is not in it is a defect and throws, so that no state is ever slid into by accident.
 export type StateMachine<S extends string> = {
   readonly state: S;
-  readonly become: (next: S) => void;
+  readonly transitionTo: (next: S) => void;
   readonly is: (...states: S[]) => boolean;
 };
 
@@ -18,7 +18,7 @@
         return state;
       },
       is: (...states) => states.includes(state),
-      become(next) {
+      transitionTo(next) {
         if (!changes[state].includes(next)) throw new Error(`no change from ${state} to ${next}`);
         const from = state;
         state = next;
--- a/src/common/ticker.ts
+++ b/src/common/ticker.ts
@@ -9,9 +9,9 @@
 export type Ticker = {
   readonly stop: () => void;
   /** Goes on with another span, in milliseconds, from now. */
-  readonly move: (span: number) => void;
+  readonly reschedule: (span: number) => void;
   /** Begins its span anew. */
-  readonly again: () => void;
+  readonly restart: () => void;
 };
 
 type Task = { span: number; due: number; readonly isPeriodic: boolean; readonly ring: () => void };
@@ -77,12 +77,12 @@
     arm();
   };
   return {
-    again,
+    restart: again,
     stop() {
       tasks.delete(task);
       if (tasks.size === 0) disarm();
     },
-    move(next) {
+    reschedule(next) {
       task.span = next;
       again();
     },
--- a/src/common/timer.ts
+++ b/src/common/timer.ts
@@ -7,9 +7,9 @@
 /** A timer that runs. */
 export type Timer = {
   readonly stop: () => void;
-  readonly move: (span: number) => void;
+  readonly reschedule: (span: number) => void;
   /** Begins its span anew, without the cost of a new timer. */
-  readonly again: () => void;
+  readonly restart: () => void;
 };
 
 export const Timer = {
@@ -17,8 +17,8 @@
     let timer = setTimeout(ring, Math.max(0, span));
     return {
       stop: () => clearTimeout(timer),
-      again: () => void timer.refresh(),
-      move(next) {
+      restart: () => void timer.refresh(),
+      reschedule(next) {
         clearTimeout(timer);
         timer = setTimeout(ring, Math.max(0, next));
       },
@@ -27,7 +27,7 @@
   /** Rings again and again, on the grid of all periodic work. */
   every: (span: number, ring: () => void): Timer => Ticker.start(span, ring),
   /** A pause between two steps of periodic work, which ends on the grid of all such work. */
-  rest: (span: number, signal?: AbortSignal): Promise<void> =>
+  sleepAligned: (span: number, signal?: AbortSignal): Promise<void> =>
     new Promise((resolve) => {
       if (signal?.aborted) return resolve();
       const finish = () => {
@@ -38,7 +38,7 @@
       const ticker = Ticker.once(span, finish);
       signal?.addEventListener('abort', finish, { once: true });
     }),
-  pause: (span: number, signal?: AbortSignal): Promise<void> =>
+  sleep: (span: number, signal?: AbortSignal): Promise<void> =>
     new Promise((resolve) => {
       if (signal?.aborted) return resolve();
       const finish = () => {
--- a/src/control/at-primary.ts
+++ b/src/control/at-primary.ts
@@ -31,7 +31,7 @@
 
 const passedBy = 'bramblebend-passed';
 /** The calls of one core to the primary. Each side keeps resting connections for 5 s by default. */
-const passing = { within: 7000, connectWithin: 1000, connections: 8, keepFor: 3000 } as const;
+const passing = { timeout: 7000, connectTimeout: 1000, maxConnections: 8, idleTimeout: 3000 } as const;
 const lookEvery = 100;
 const ofOneConnection = new Set([
   'host',
--- a/src/control/commands/rollback.ts
+++ b/src/control/commands/rollback.ts
@@ -10,7 +10,7 @@
 /** An order to take a kept manifest back. */
 export type Rollback = Omit<PutManifest, 'body'> & { readonly body: unknown };
 
-const form = Guard.record({ revision: Guard.whole({ min: 1 }) });
+const form = Guard.strictObject({ revision: Guard.integer({ min: 1 }) });
 
 export const Rollback = {
   /** Puts the manifest of the revision asked for as a new one. */
--- a/src/control/core.ts
+++ b/src/control/core.ts
@@ -62,7 +62,7 @@
     while (!signal.aborted) {
       await step();
       rest = new AbortController();
-      if (!signal.aborted) await Timer.rest(stepEvery, rest.signal);
+      if (!signal.aborted) await Timer.sleepAligned(stepEvery, rest.signal);
     }
   };
   return { run, wake };
@@ -131,12 +131,12 @@
       while (!stop.signal.aborted) {
         await life.look().catch((error) => note('no votes came', { why: Failure.text(error) }));
         steps.wake();
-        await Timer.rest(phase.is('blank') ? stepEvery : votesEvery, stop.signal);
+        await Timer.sleepAligned(phase.is('blank') ? stepEvery : votesEvery, stop.signal);
       }
     };
     const take = async () => {
       await joining.retire();
-      if (phase.is('blank') && !register.isBlank()) phase.become('following');
+      if (phase.is('blank') && !register.isBlank()) phase.transitionTo('following');
       needs.tend([...(known.term()?.cores.map((core) => core.wire) ?? []), ...needs.places()]);
       if (phase.is('leading')) await leading.step();
       else if (!(await regrouping.step())) await (phase.is('blank') ? joining.ask() : following.step());
@@ -169,8 +169,8 @@
         stop.abort();
         life.isLeaving = true;
         life.primary?.depose('this core ends');
-        await Promise.race([tasks, Timer.pause(stopWithin)]);
-        if (!phase.is('stopped')) phase.become('stopped');
+        await Promise.race([tasks, Timer.sleep(stopWithin)]);
+        if (!phase.is('stopped')) phase.transitionTo('stopped');
       },
     };
   },
--- a/src/control/ending.ts
+++ b/src/control/ending.ts
@@ -20,7 +20,7 @@
     steps: readonly Ending[],
   ): Promise<void> {
     for (const { what, within, end } of steps) {
-      const late = Timer.pause(within ?? shortly).then(() => 'took too long');
+      const late = Timer.sleep(within ?? shortly).then(() => 'took too long');
       const done = end().then(
         () => undefined,
         (error) => Failure.text(error),
--- a/src/control/life/leading.ts
+++ b/src/control/life/leading.ts
@@ -80,7 +80,7 @@
     return {
       async begin(term, ballot) {
         if (life.isLeaving) return;
-        phase.become('leading');
+        phase.transitionTo('leading');
         ledSince = Instant.now();
         needs.note('leading', { term: Term.text(term) });
         const mine = primaryOf(life, term, ballot);
@@ -88,7 +88,7 @@
         void mine.deposed.then((why) => {
           needs.note('deposed', { why });
           if (life.primary === mine) life.primary = undefined;
-          if (phase.is('leading')) phase.become('following');
+          if (phase.is('leading')) phase.transitionTo('following');
           life.wake();
         });
         await mine.commit((_state, stamp) => ({ kind: 'opened', stamp }));
@@ -100,7 +100,7 @@
         upkeep ??= mine.maintain().finally(() => {
           upkeep = undefined;
         });
-        await Promise.race([upkeep, Timer.rest(stepFor)]);
+        await Promise.race([upkeep, Timer.sleepAligned(stepFor)]);
         await settle(life, mine, ledSince);
       },
     };
--- a/src/control/life/leaving.ts
+++ b/src/control/life/leaving.ts
@@ -61,7 +61,7 @@
     let successor: Frame.Core | undefined;
     /** One attempt; resolves with the reason why this core is not released yet, or with nothing. */
     const attempt = async (until: Instant, othersUntil: Instant): Promise<string> => {
-      const late = Timer.pause(votesWithin).then(() => undefined);
+      const late = Timer.sleep(votesWithin).then(() => undefined);
       const votes = await Promise.race([proposer.votes(), late]);
       if (!votes) return 'the others are slow';
       for (const { term, accepted } of votes) life.known.learn(term, accepted ?? Ballot.none);
@@ -77,7 +77,7 @@
         successor = life.primary.newcomer() ?? successor;
         return (await life.primary.yield()) || 'leadership is handed over';
       }
-      return askForRelease(life, term, successor, Instant.left(until));
+      return askForRelease(life, term, successor, Instant.remaining(until));
     };
     const release = async () => {
       const until = Instant.after(leaveWithin);
@@ -86,7 +86,7 @@
         const why = await attempt(until, othersUntil).catch(Failure.text);
         if (why === '') break;
         note('not released yet', { why });
-        await Timer.pause(againAfter);
+        await Timer.sleep(againAfter);
       }
       await life.look();
       await joining.retire();
@@ -94,7 +94,7 @@
     return {
       async run() {
         life.isLeaving = true;
-        await Promise.race([release().catch(() => undefined), Timer.pause(leaveWithin)]);
+        await Promise.race([release().catch(() => undefined), Timer.sleep(leaveWithin)]);
       },
     };
   },
--- a/src/control/office.ts
+++ b/src/control/office.ts
@@ -150,7 +150,7 @@
         if (term && term.primary !== primary.term().primary)
           primary.depose('a majority names another primary');
         if (Instant.since(began) > lookAgainFor) throw unconfirmed('no majority confirms the epoch', 'no');
-        await Timer.pause(lookAgainEvery);
+        await Timer.sleep(lookAgainEvery);
       }
     };
     return {
--- a/src/control/peers.ts
+++ b/src/control/peers.ts
@@ -57,7 +57,13 @@
         for (const place of wanted)
           if (!held.has(place))
             held.set(place, {
-              courier: PeerClient.run({ place, stamp: feed.stamp, age: needs.age, hello, onUp: needs.onUp }),
+              courier: PeerClient.start({
+                place,
+                stamp: feed.stamp,
+                age: needs.age,
+                hello,
+                onUp: needs.onUp,
+              }),
               uplink: Uplink.run({
                 feed,
                 roll,
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -68,7 +68,7 @@
   async start(startup, ring, adapter = {}) {
     const began = Instant.now();
     const seal = startup.key_file === undefined ? undefined : await Seal.read(startup.key_file);
-    const { register, store } = await Folder.open(startup.data, ring.alert, seal);
+    const { register, store } = await Folder.open(startup.data, ring.error, seal);
     const feed = Feed.of();
     const boot = Id.boot();
     let wire = startup.wire;
@@ -115,7 +115,7 @@
       onFailures: (failed) => children.broadcast({ kind: 'failures', failed }, isBelow),
       onCold: ({ stamp: _stamp, ...frame }) => children.broadcast(frame, isBelow),
       onUp: () => core?.stir(),
-      note: ring.note,
+      note: ring.info,
     });
     const quotas = QuotaDuty.of({
       quotaOf: (team) => feed.view().manifest?.document.teams[team]?.quota,
@@ -154,7 +154,7 @@
       leave: (leaving, successor) =>
         core?.release(leaving, successor) ?? Promise.resolve('this core has just started'),
       join: (joining) => core?.join(joining) ?? Promise.resolve('this core has just started'),
-      note: ring.note,
+      note: ring.info,
     });
     const controls = () =>
       roll
@@ -182,8 +182,8 @@
       address: Address.checked(startup.wire),
       stamp: feed.stamp,
       age,
-      isSteady: true,
-      note: ring.note,
+      pingsWhenBusy: true,
+      note: ring.info,
       serve: (link, hello, frames) =>
         hello.aim === 'core'
           ? desk.serve(link, frames)
@@ -222,8 +222,8 @@
       publish(view) {
         if (view.manifest) feed.offer(view);
       },
-      note: ring.note,
-      alert: ring.alert,
+      note: ring.info,
+      alert: ring.error,
       transfers,
     });
     const running = core;
@@ -237,8 +237,8 @@
     gauge('members', 'nodes on the roll', () => roll.all().length);
     gauge('servers', 'servers on the list held', () => store.state().platform.servers.length);
     gauge('list_serial', 'serial of the list held', () => store.state().platform.serial);
-    gauge('links_dropped', 'links closed for what they sent', doorway.refused);
-    gauge('frames_unknown', 'frames dropped since their kind is not known here', Frame.unknown);
+    gauge('links_dropped', 'links closed for what they sent', doorway.refusedCount);
+    gauge('frames_unknown', 'frames dropped since their kind is not known here', Frame.unknownCount);
     const { counts } = transfers;
     gauge(
       'cores_behind',
@@ -287,7 +287,7 @@
       ownHttp: () => http,
       isReached: (one) => peers.at(one.wire)?.downFor() === 0,
       operations: ops.app,
-      note: ring.note,
+      note: ring.info,
     });
     const { server } = controlHttp;
     http = Address.text(await Listen(server, Address.checked(startup.http)));
@@ -300,7 +300,7 @@
         isHeld: () => (running.confirmedFor() ?? Number.POSITIVE_INFINITY) < confirmedWithin,
         held: () => store.state().platform.servers,
         renew: async (servers) => (await RenewList.run(office, { servers })).status === 200,
-        note: ring.note,
+        note: ring.info,
       });
     const lookout =
       adapter.list &&
@@ -314,7 +314,7 @@
         },
         held: () => (feed.view().manifest ? feed.view() : store.state()).platform.servers,
         tell: (instances) => children.broadcast({ kind: 'leaving', instances }),
-        note: ring.note,
+        note: ring.info,
       });
     const reports =
       adapter.reports &&
@@ -331,7 +331,7 @@
     return {
       ready: { wire, http },
       drain: () =>
-        Ending.run(ring.note, [
+        Ending.run(ring.info, [
           { what: 'leaving the cores', within: leaveWithin, end: running.leave },
           {
             what: 'timers and duties',
--- a/src/duty/report-duty.ts
+++ b/src/duty/report-duty.ts
@@ -70,7 +70,7 @@
       for (let round = 0; !stop.signal.aborted; round += 1) {
         if (needs.isHeld()) await step(round);
         else for (const kept of [told, rests, last]) kept.clear();
-        await Timer.pause(every, stop.signal);
+        await Timer.sleep(every, stop.signal);
       }
     };
     const done = run();
--- a/src/duty/rounds.ts
+++ b/src/duty/rounds.ts
@@ -15,7 +15,7 @@
         } catch (error) {
           onFailure(error);
         }
-        await Timer.rest(rest, stop.signal);
+        await Timer.sleepAligned(rest, stop.signal);
       }
     };
     const done = run();
--- a/src/epoch/register.ts
+++ b/src/epoch/register.ts
@@ -81,14 +81,14 @@
         return () => void watchers.delete(see);
       },
       prepare: (ballot, isForming = false) =>
-        turns.take(async () => {
+        turns.runExclusive(async () => {
           const next = Acceptor.prepare(kept, ballot, isForming);
           if (!next) return false;
           await keep(next);
           return true;
         }),
       accept: (ballot, term, isChosen = false) =>
-        turns.take(async () => {
+        turns.runExclusive(async () => {
           const next = Acceptor.accept(kept, ballot, term, isChosen);
           if (!next) return false;
           if (next === kept) return true;
--- a/src/log/log-buffer.ts
+++ b/src/log/log-buffer.ts
@@ -1,8 +1,8 @@
 // The log: a ring of the last entries in memory. It is written out, whole, when something goes wrong
 // enough to say so, and can be read over the operations port at any time.
 export type LogBuffer = {
-  readonly note: (text: string, facts?: Record<string, unknown>) => void;
-  readonly alert: (text: string, facts?: Record<string, unknown>) => void;
+  readonly info: (text: string, facts?: Record<string, unknown>) => void;
+  readonly error: (text: string, facts?: Record<string, unknown>) => void;
   readonly entries: () => readonly Record<string, unknown>[];
 };
 
@@ -29,8 +29,8 @@
       process.stderr.write(fresh.map((entry) => `${JSON.stringify(entry)}\n`).join(''));
     };
     return {
-      note: (text, facts = {}) => keep('info', text, facts),
-      alert(text, facts = {}) {
+      info: (text, facts = {}) => keep('info', text, facts),
+      error(text, facts = {}) {
         keep('error', text, facts);
         writeOut();
       },
--- a/src/membership/downlink.ts
+++ b/src/membership/downlink.ts
@@ -52,7 +52,7 @@
     const node = hello.self.node;
     const isPeer = hello.self.program === 'control';
     const isSame = Stamp.isSame(hello.self.stamp, feed.stamp());
-    const protocol = Protocol.ofBoth(hello.protocol);
+    const protocol = Protocol.negotiate(hello.protocol);
     const dispatch = Dispatch.of({
       link,
       feed,
--- a/src/membership/turns.ts
+++ b/src/membership/turns.ts
@@ -30,7 +30,7 @@
       running += 1;
       const late = new AbortController();
       const turn = work().catch(() => undefined);
-      void Promise.race([turn, Timer.pause(longest, late.signal)]).then(() => {
+      void Promise.race([turn, Timer.sleep(longest, late.signal)]).then(() => {
         late.abort();
         running -= 1;
         setImmediate(next);
--- a/src/membership/uplink.ts
+++ b/src/membership/uplink.ts
@@ -38,7 +38,7 @@
     readonly version: string;
     readonly isFixed?: boolean;
     /** Opens a link to a place in another way than by a socket. */
-    readonly open?: (place: string, terms: Link.Terms) => Link;
+    readonly open?: (place: string, terms: Link.Options) => Link;
     readonly isUpward: boolean;
     readonly onParent?: (parent: Frame.Entry, stamp: Stamp) => void;
     readonly onPeers?: (peers: readonly string[]) => void;
@@ -198,14 +198,14 @@
     const take = (frame: Exclude<Frame, { kind: 'ping' }>, link: Link) =>
       match(frame)
         .with({ kind: 'welcome' }, ({ self, peers, relays, stamp, age, protocol: theirs }) => {
-          protocol = Protocol.ofBoth(theirs);
+          protocol = Protocol.negotiate(theirs);
           learnPeers(peers);
           if (goLower(relays, link)) return;
           isBelowAgent = self.program === 'agent';
           if (!isBelowAgent) places.met(currentPlace, self.zone);
           if (isBelowAgent && age > oldAfter && isFree())
             throw Failure.of('silence', 'no fresh word from the primary there');
-          phase.become('joined');
+          phase.transitionTo('joined');
           joinedAt = Instant.now();
           parent = self.node;
           isFar = isBelowAgent && self.zone !== roll.self().zone;
@@ -252,7 +252,7 @@
       const list = places.next().filter((place) => !below.has(place) && Address.parse(place) !== undefined);
       const hasOne = new AbortController();
       const dials = list.map(async (place, index) => {
-        await Timer.pause(index * nextAfter, hasOne.signal);
+        await Timer.sleep(index * nextAfter, hasOne.signal);
         if (hasOne.signal.aborted) throw Failure.of('link', 'another place took the call');
         const either = AbortSignal.any([stop.signal, hasOne.signal]);
         const opened = needs.open
@@ -305,16 +305,16 @@
     };
     const run = async () => {
       for (let round = 0; !stop.signal.aborted; round += 1) {
-        phase.become('joining');
+        phase.transitionTo('joining');
         await attend().catch(() => undefined);
         const wasJoined = phase.is('joined');
         parent = '';
         if (stop.signal.aborted) break;
-        phase.become('seeking');
-        if (!wasJoined) await Timer.pause(Math.min(50 * (round + 1), 250), stop.signal);
+        phase.transitionTo('seeking');
+        if (!wasJoined) await Timer.sleep(Math.min(50 * (round + 1), 250), stop.signal);
         else round = 0;
       }
-      phase.become('stopped');
+      phase.transitionTo('stopped');
     };
     return {
       state: () => phase.state,
--- a/src/news/voucher.ts
+++ b/src/news/voucher.ts
@@ -21,7 +21,7 @@
     const look = () => {
       if (phase.is('vouched') || !feed.view().manifest) return;
       const isKept = promised !== undefined && !Stamp.isNewer(promised, feed.stamp());
-      if (isKept || feed.vouchedAt() > began) phase.become('vouched');
+      if (isKept || feed.vouchedAt() > began) phase.transitionTo('vouched');
     };
     feed.watch(look);
     return {
--- a/src/proxy/departures.ts
+++ b/src/proxy/departures.ts
@@ -33,7 +33,7 @@
         serial = needs.serial();
         const isNew = instances.some((instance) => !until.has(instance));
         for (const instance of instances) until.set(instance, Instant.after(keptFor));
-        late.move(keptFor + 1);
+        late.reschedule(keptFor + 1);
         if (isNew) needs.onChange();
       },
       over(view) {
--- a/src/proxy/filters/admit.ts
+++ b/src/proxy/filters/admit.ts
@@ -37,7 +37,7 @@
       if (typeof how === 'string') incoming.pause();
       resolve(how);
     };
-    const late = Timer.after(Instant.left(until), () => finish('late'));
+    const late = Timer.after(Instant.remaining(until), () => finish('late'));
     incoming.on('data', (chunk: Buffer) => {
       length += chunk.length;
       if (length > longest) finish('long');
--- a/src/proxy/program.ts
+++ b/src/proxy/program.ts
@@ -43,7 +43,7 @@
     startup: Startup['proxy'],
     ring: LogBuffer,
     dialect?: Dialect,
-    join?: (terms: Link.Terms) => Link,
+    join?: (terms: Link.Options) => Link,
   ) => Promise<Program>;
 };
 
@@ -94,15 +94,15 @@
     });
     const ejector = Ejector.of((server, span, why) => {
       meters.ejections.inc({ group: server.group });
-      ring.note('ejected', { instance: server.instance, span, why });
+      ring.info('ejected', { instance: server.instance, span, why });
     });
     const pool = Pool.of({
       newest: () => compiled,
       onWrong(server, cause) {
         meters.wrong.inc({ group: server.group });
         const facts = { instance: server.instance, why: Failure.text(cause), ...Failure.info(cause) };
-        if (prover.isDark(server.instance)) ring.note('wrong identity still', facts);
-        else ring.alert('wrong identity', facts);
+        if (prover.isDark(server.instance)) ring.info('wrong identity still', facts);
+        else ring.error('wrong identity', facts);
       },
       onEnded: (server) => prover.suspect(server),
       proxies: () => roster.length,
@@ -126,17 +126,17 @@
       onDark({ instance, group }) {
         meters.dark.inc({ group });
         ramp.doubt(instance);
-        ring.note('dark', { instance });
+        ring.info('dark', { instance });
         uplink.send({ kind: 'cold', instance, age: 0, dark: true });
       },
       onBack({ instance }) {
-        ring.note('back from the dark', { instance });
+        ring.info('back from the dark', { instance });
         onCold(instance);
         uplink.send({ kind: 'cold', instance, age: 0, dark: false });
       },
     });
     const onCold = (instance: string, age = 0) => {
-      if (ramp.begin(instance, age)) ring.note('fed gently', { instance });
+      if (ramp.begin(instance, age)) ring.info('fed gently', { instance });
     };
     const warm = (before: Compiled | undefined, server: Compiled.Server, group: Compiled.Group) => {
       const known = before?.servers.get(server.instance);
@@ -169,7 +169,7 @@
       feedGently(before, compiled);
       if (!before) firstManifest.came();
       limit(compiled.limits);
-      ring.note('in force', { stamp: Stamp.text(compiled.stamp) });
+      ring.info('in force', { stamp: Stamp.text(compiled.stamp) });
       pool.retain(compiled);
       ejector.retain(compiled);
       prover.retain(compiled);
@@ -208,7 +208,7 @@
         prover,
         shares: Shares.of(),
         meters,
-        note: ring.note,
+        note: ring.info,
       },
       {
         isReady,
@@ -257,7 +257,7 @@
       seeds: [startup.agent],
       version: Version,
       isFixed: true,
-      ...(join ? { open: (_place: string, terms: Link.Terms) => join(terms) } : {}),
+      ...(join ? { open: (_place: string, terms: Link.Options) => join(terms) } : {}),
       isUpward: true,
       onWord: voucher.look,
       onParent(agent, stamp) {
@@ -283,14 +283,14 @@
         else if (told.whole) quotas.tellAll();
         else budget.grant(epoch, batches);
       },
-      note: ring.note,
+      note: ring.info,
     });
     return {
       ready: { listen: Address.text(listening), ops: Address.text(opsAt) },
       async drain() {
         isDraining = true;
         uplink.announce();
-        await Timer.pause(startup.linger ?? 0);
+        await Timer.sleep(startup.linger ?? 0);
         const late = Timer.after((startup.drain ?? 30_000) - (startup.linger ?? 0), () =>
           server.closeAllConnections(),
         );
--- a/src/proxy/stream-pump.ts
+++ b/src/proxy/stream-pump.ts
@@ -54,7 +54,7 @@
   ) {
     const { spans, watch } = terms;
     const { idle, until, suspectAfter } = spans;
-    const left = until === undefined ? Instant.never : Instant.left(until);
+    const left = until === undefined ? Instant.never : Instant.remaining(until);
     if (until !== undefined) this.late = Timer.after(left, this.onLate);
     // A silence that would outlast the time of the request is ended by that.
     if (idle < left) this.quiet = Timer.after(idle, this.onQuiet);
@@ -72,8 +72,8 @@
   write(chunk: Buffer): boolean {
     const { watch, events, chunks } = this.terms;
     const now = Instant.now();
-    this.quiet?.again();
-    this.suspicion?.again();
+    this.quiet?.restart();
+    this.suspicion?.restart();
     if (this.last !== undefined) watch.onEvent(now - this.last);
     this.last = now;
     const whole = events ? events.take(chunk) : chunk;
@@ -120,7 +120,7 @@
   };
 
   private readonly onDrain = (): void => {
-    this.quiet?.again();
+    this.quiet?.restart();
     this.flow?.resume();
   };
 
--- a/src/replica/assembly.ts
+++ b/src/replica/assembly.ts
@@ -47,7 +47,7 @@
       (transfer.epoch === than.epoch && !Stamp.isNewer(than.target, transfer.target));
     return {
       begin(transfer) {
-        if (transfer.length > Frame.longest) return false;
+        if (transfer.length > Frame.maxBytes) return false;
         if (underWay?.transfer.digest === transfer.digest) return true;
         if (underWay && !isNewer(transfer, underWay.transfer)) return false;
         begin(transfer);
--- a/src/replica/backup.ts
+++ b/src/replica/backup.ts
@@ -58,7 +58,7 @@
   let writes = 0;
   return {
     isWriting: () => writes > 0,
-    inTurn: turns.take,
+    inTurn: turns.runExclusive,
     /** Resolves with the reason where the change could not be synced. */
     async write(change: State.Change, previous?: Stamp): Promise<string | undefined> {
       writes += 1;
--- a/src/replica/follower.ts
+++ b/src/replica/follower.ts
@@ -128,7 +128,7 @@
     if (Instant.since(writingSince) > hungAfter)
       throw Failure.of('store', `the disk of ${core().node} hangs`);
     known.forget();
-    await Timer.pause(lookAgainAfter);
+    await Timer.sleep(lookAgainAfter);
   };
   const sendPiece = async (held: Stamp, sending: Payload) => {
     const under = epoch();
--- a/src/replica/hand-over.ts
+++ b/src/replica/hand-over.ts
@@ -29,7 +29,7 @@
       if (!core || !courier?.reaches(core) || courier.downFor() > 0) continue;
       const reply = await courier.ask({ kind: 'yield', epoch }, askWithin).catch(() => undefined);
       if (reply?.kind !== 'done' || !reply.isDone) continue;
-      await Promise.race([leadership.deposed, Timer.pause(takeOverWithin)]);
+      await Promise.race([leadership.deposed, Timer.sleep(takeOverWithin)]);
       if (!leadership.isLeading()) return '';
     }
     return 'no backup took over';
--- a/src/replica/leadership.ts
+++ b/src/replica/leadership.ts
@@ -75,7 +75,7 @@
       },
       depose(why) {
         if (phase.is('deposed')) return;
-        phase.become('deposed');
+        phase.transitionTo('deposed');
         tellDeposed(why);
       },
       deposed,
--- a/src/replica/maintenance.ts
+++ b/src/replica/maintenance.ts
@@ -38,9 +38,9 @@
       async run(turns, isOpen) {
         if (!leadership.isLeading()) return;
         if (!store.isSound())
-          await turns.take(() => handOver(new Error('the store is broken'))).catch(() => {});
+          await turns.runExclusive(() => handOver(new Error('the store is broken'))).catch(() => {});
         if (!isOpen || !isLacking() || !others().some(isUpSpare)) return;
-        await turns.take(async () => {
+        await turns.runExclusive(async () => {
           await states.resolve();
           if (isLacking()) await replication.tryOnce(states.state());
         });
--- a/src/replica/primary.ts
+++ b/src/replica/primary.ts
@@ -145,7 +145,7 @@
       if (isWritingBack) return;
       isWritingBack = true;
       void turns
-        .take(async () => void (leadership.isLeading() && (await termChange.change(() => undefined))))
+        .runExclusive(async () => void (leadership.isLeading() && (await termChange.change(() => undefined))))
         .catch(() => undefined)
         .finally(() => {
           isWritingBack = false;
@@ -182,14 +182,14 @@
         const wasOpen = isOpen;
         return (await confirmation.confirm()) && wasOpen;
       },
-      commit: (make) => turns.take(() => commit(make)),
-      raiseEpoch: (above) => turns.take(() => raiseEpoch(above)),
+      commit: (make) => turns.runExclusive(() => commit(make)),
+      raiseEpoch: (above) => turns.runExclusive(() => raiseEpoch(above)),
       maintain: () => maintenance.run(turns, isOpen),
       announce,
-      join: (core) => turns.take(() => membership.join(core)),
-      leave: (core, successor) => turns.take(() => membership.leave(core, successor)),
+      join: (core) => turns.runExclusive(() => membership.join(core)),
+      leave: (core, successor) => turns.runExclusive(() => membership.leave(core, successor)),
       newcomer: membership.newcomer,
-      yield: () => turns.take(yieldLeadership),
+      yield: () => turns.runExclusive(yieldLeadership),
       members: () =>
         leadership
           .term()
--- a/src/replica/replication-round.ts
+++ b/src/replica/replication-round.ts
@@ -54,7 +54,7 @@
         .then((epoch) => void confirmed.set(core.disk, epoch), fail)
         .finally(() => {
           asked.delete(core.disk);
-          ended.ring();
+          ended.release();
         });
     };
     const mayBeOffered = (core: Frame.Core, epoch: Epoch) =>
@@ -75,7 +75,7 @@
       },
       moved(span) {
         ended = Latch.of();
-        return ended.within(span);
+        return ended.wait(span);
       },
     };
   },
--- a/src/replica/replication.ts
+++ b/src/replica/replication.ts
@@ -60,7 +60,7 @@
       const patience = Instant.after(isWaiting ? slowAfter : 0);
       const mayWait = () => leadership.isLeading() && !round.hasFailures() && !Instant.isPast(patience);
       while (mayWait() && !isHeld(round)) {
-        await round.moved(Instant.left(patience));
+        await round.moved(Instant.remaining(patience));
         round.offerAgain(coresOf(round), leadership.term().epoch);
       }
     };
@@ -89,7 +89,7 @@
         round.offerAgain(leadership.term().cores, epoch);
         const move = await changeTerm(round);
         if (isOnce && (move === 'failed' || (move === 'wait' && round.isIdle()))) return false;
-        if (move === 'failed') await Promise.all([termChange.announce(), Timer.pause(againAfter)]);
+        if (move === 'failed') await Promise.all([termChange.announce(), Timer.sleep(againAfter)]);
         if (move === 'wait') await round.moved(againAfter);
       }
       return leadership.isLeading();
--- a/src/startup/file-watcher.ts
+++ b/src/startup/file-watcher.ts
@@ -3,7 +3,7 @@
 import { readFileSync, statSync } from 'node:fs';
 import { Timer } from '../common/timer.js';
 
-export type FileWatcher = { readonly look: () => void; readonly stop: () => void };
+export type FileWatcher = { readonly check: () => void; readonly stop: () => void };
 
 const lookEvery = 1000;
 const readEvery = 10;
@@ -22,7 +22,7 @@
 };
 
 export const FileWatcher = {
-  file(path: string, onChange: (text: string) => void): FileWatcher {
+  watch(path: string, onChange: (text: string) => void): FileWatcher {
     let mark = markOf(path);
     let text = textOf(path);
     let looks = 0;
@@ -39,6 +39,6 @@
       mark = next;
       read();
     });
-    return { look: read, stop: looking.stop };
+    return { check: read, stop: looking.stop };
   },
 };
--- a/src/startup/program.ts
+++ b/src/startup/program.ts
@@ -14,14 +14,14 @@
 };
 
 export declare namespace Program {
-  type Terms<S> = {
+  type Definition<S> = {
     readonly name: string;
     readonly about: string;
     readonly guard: Guard<S>;
     readonly flags: Readonly<Record<string, string>>;
     readonly start: (startup: S, ring: LogBuffer) => Promise<Program>;
   };
-  type Made = {
+  type RunOptions = {
     readonly name: string;
     readonly node: string;
     readonly start: (ring: LogBuffer) => Promise<Program>;
@@ -71,18 +71,18 @@
   let isTold = false;
   const die = (error: unknown): never => {
     isTold = true;
-    ring.alert('the program ends', { why: Failure.text(error), stack: (error as Error)?.stack });
+    ring.error('the program ends', { why: Failure.text(error), stack: (error as Error)?.stack });
     process.exit(1);
   };
   process.on('uncaughtException', die);
   process.on('unhandledRejection', die);
   process.once('exit', (code) => {
-    if (!isTold && !isDraining()) ring.alert('the program ends', { why: 'nothing is left to do', code });
+    if (!isTold && !isDraining()) ring.error('the program ends', { why: 'nothing is left to do', code });
   });
   return die;
 };
 
-const run = async (terms: Program.Made): Promise<void> => {
+const run = async (terms: Program.RunOptions): Promise<void> => {
   const ring = LogBuffer.of(terms.node);
   let isDraining = false;
   const die = watchEnd(ring, () => isDraining);
@@ -105,7 +105,7 @@
   );
 };
 
-const runChecked = <S>(terms: Program.Terms<S>, flags: Flags): Promise<void> => {
+const runChecked = <S>(terms: Program.Definition<S>, flags: Flags): Promise<void> => {
   const findings: Guard.Finding[] = [];
   const startup = settle(terms.flags, flags);
   if (!terms.guard(startup, '', findings)) return fail(findings, 'the startup');
@@ -115,8 +115,8 @@
 
 export const Program = {
   fail,
-  run: (terms: Program.Made): void => void run(terms),
-  main<S>(terms: Program.Terms<S>): void {
+  run: (terms: Program.RunOptions): void => void run(terms),
+  main<S>(terms: Program.Definition<S>): void {
     const cli = sade(terms.name, true).version(Version).describe(terms.about);
     cli.option('--startup', 'startup file (JSON); flags go before it');
     for (const [flag, about] of Object.entries(terms.flags)) cli.option(`--${flag}`, about);
--- a/src/startup/startup.ts
+++ b/src/startup/startup.ts
@@ -1,24 +1,24 @@
 // The startup of each daemon, as guards. Unknown keys are findings.
 import { Guard } from '../common/guard.js';
 
-const name = Guard.text({
+const name = Guard.string({
   like: /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/,
   as: 'a name of letters, digits, . _ -',
 });
 const seeds = Guard.list(Guard.address, { min: 1, max: 3 });
 
-const proxy = Guard.record(
+const proxy = Guard.strictObject(
   { node: name, zone: name, listen: Guard.address, ops: Guard.address, agent: Guard.address },
   {
-    concurrent: Guard.whole({ min: 1, max: 1_000_000 }),
-    drain: Guard.whole({ min: 0, max: 3_600_000 }),
-    extra_tries: Guard.record({ count: Guard.number({ min: 0 }), window: Guard.whole({ min: 1 }) }),
-    linger: Guard.whole({ min: 0, max: 3_600_000 }),
-    ready_path: Guard.text({ like: /^\/[^\s?#:*]*$/, as: 'a path that begins with /' }),
+    concurrent: Guard.integer({ min: 1, max: 1_000_000 }),
+    drain: Guard.integer({ min: 0, max: 3_600_000 }),
+    extra_tries: Guard.strictObject({ count: Guard.number({ min: 0 }), window: Guard.integer({ min: 1 }) }),
+    linger: Guard.integer({ min: 0, max: 3_600_000 }),
+    ready_path: Guard.string({ like: /^\/[^\s?#:*]*$/, as: 'a path that begins with /' }),
   },
 );
 
-const agent = Guard.record({
+const agent = Guard.strictObject({
   node: name,
   zone: name,
   wire: Guard.address,
@@ -27,21 +27,28 @@
   seeds,
 });
 
-const token = Guard.text({ min: 8, max: 256 });
-const operator = Guard.record({ name, token }, { teams: Guard.list(name, { min: 1 }), secrets: Guard.flag });
+const token = Guard.string({ min: 8, max: 256 });
+const operator = Guard.strictObject(
+  { name, token },
+  { teams: Guard.list(name, { min: 1 }), secrets: Guard.boolean },
+);
 
-const control = Guard.record(
+const control = Guard.strictObject(
   {
     node: name,
     zone: name,
     wire: Guard.address,
     http: Guard.address,
     seeds,
-    data: Guard.text({ max: 4096 }),
+    data: Guard.string({ max: 4096 }),
     operators: Guard.list(operator, { min: 1, max: 100 }),
-    platform: Guard.list(Guard.record({ name, token }), { min: 1, max: 100 }),
+    platform: Guard.list(Guard.strictObject({ name, token }), { min: 1, max: 100 }),
+  },
+  {
+    losses: Guard.integer({ min: 0, max: 4 }),
+    initial: Guard.boolean,
+    key_file: Guard.string({ max: 4096 }),
   },
-  { losses: Guard.whole({ min: 0, max: 4 }), initial: Guard.flag, key_file: Guard.text({ max: 4096 }) },
 );
 
 export type Startup = {
--- a/src/store/file.ts
+++ b/src/store/file.ts
@@ -146,9 +146,9 @@
   };
 
   readonly close = async (): Promise<void> => {
-    await this.#turns.take(async () => {
+    await this.#turns.runExclusive(async () => {
       if (this.#phase.is('shut')) return;
-      this.#phase.become('shut');
+      this.#phase.transitionTo('shut');
       await this.#handle.close();
     });
     await this.#replacement;
@@ -160,15 +160,15 @@
 
   /** Runs one write at a time; after a failure only a whole rewrite may run. */
   #guarded(work: () => Promise<void>, isWhole = false): Promise<void> {
-    return this.#turns.take(async () => {
+    return this.#turns.runExclusive(async () => {
       if (!this.#phase.is('sound') && !(isWhole && this.#phase.is('broken')))
         throw Failure.of('store', `${this.#name} is ${this.#phase.state}`);
       this.#busySince = Instant.now();
       try {
         await work();
-        if (this.#phase.is('broken')) this.#phase.become('sound');
+        if (this.#phase.is('broken')) this.#phase.transitionTo('sound');
       } catch (cause) {
-        if (this.#phase.is('sound')) this.#phase.become('broken');
+        if (this.#phase.is('sound')) this.#phase.transitionTo('broken');
         throw Failure.of('store', `cannot write ${this.#name}`, {}, cause);
       } finally {
         this.#busySince = undefined;
@@ -199,7 +199,7 @@
       const whole = concat(await make());
       next = await writeNew(path, whole);
       const synced = next;
-      await this.#turns.take(() => this.#finishReplacing(synced, whole.length, meanwhile));
+      await this.#turns.runExclusive(() => this.#finishReplacing(synced, whole.length, meanwhile));
       isTaken = true;
     } catch (cause) {
       throw Failure.of('store', `cannot replace the beginning of ${this.#name}`, {}, cause);
@@ -222,7 +222,7 @@
         await next.sync();
       }
       await this.#takeOver(next, this.#pathOf(suffixes.replacement), length + tail.length).catch((cause) => {
-        this.#phase.become('broken');
+        this.#phase.transitionTo('broken');
         throw cause;
       });
     } finally {
--- a/src/store/store.ts
+++ b/src/store/store.ts
@@ -96,17 +96,17 @@
   };
 
   readonly idle = (): Promise<void> => {
-    return this.#turns.take(async () => {});
+    return this.#turns.runExclusive(async () => {});
   };
 
   readonly mend = (): Promise<void> => {
-    return this.#turns.take(async () => {
+    return this.#turns.runExclusive(async () => {
       if (this.#file.isBroken()) await this.#rewrite(wholeOf(this.#state));
     });
   };
 
   readonly take = (change: State.Change, previous?: Stamp): Promise<void> => {
-    return this.#turns.take(async () => {
+    return this.#turns.runExclusive(async () => {
       this.#check(change, previous);
       const next = State.apply(this.#state, change);
       if (change.kind === 'whole') await this.#rewrite(change);
@@ -177,7 +177,7 @@
     let cost = 0;
     try {
       await this.#file.replace(async () => {
-        const snapshot = await Snapshot.of(state, () => Timer.pause(0));
+        const snapshot = await Snapshot.of(state, () => Timer.sleep(0));
         cost = snapshot.cost;
         return snapshot.payloads.map((payload) => sealFor(payload, this.#seal));
       });
--- a/src/upstream/budget.ts
+++ b/src/upstream/budget.ts
@@ -90,7 +90,7 @@
           const wake = () => rest.abort();
           wakes.add(wake);
           signal.addEventListener('abort', wake, { once: true });
-          await Timer.pause(Math.min(askAgainAfter, Instant.left(until)), rest.signal);
+          await Timer.sleep(Math.min(askAgainAfter, Instant.remaining(until)), rest.signal);
           signal.removeEventListener('abort', wake);
           wakes.delete(wake);
         }
--- a/src/upstream/connection.ts
+++ b/src/upstream/connection.ts
@@ -144,7 +144,7 @@
   }
 
   close(): void {
-    if (!this.phase.is('closed')) this.phase.become('closed');
+    if (!this.phase.is('closed')) this.phase.transitionTo('closed');
   }
 
   mayCarry(isTied: boolean): boolean {
@@ -152,7 +152,7 @@
   }
 
   begin(isTied: boolean): void {
-    this.phase.become('busy');
+    this.phase.transitionTo('busy');
     this.isWhole = undefined;
     this.kept = undefined;
     this.hasCarried = true;
@@ -213,7 +213,7 @@
       await destroy();
       throw Failure.of('connect', 'the connection has ended');
     }
-    phase.become('idle');
+    phase.transitionTo('idle');
     return {
       server,
       state: () => phase.state,
@@ -232,7 +232,7 @@
       },
       release() {
         if (!phase.is('busy')) return;
-        if (use.settle()) phase.become('idle');
+        if (use.settle()) phase.transitionTo('idle');
         else void destroy();
       },
     };
--- a/src/upstream/ejector.ts
+++ b/src/upstream/ejector.ts
@@ -47,7 +47,7 @@
     return {
       isOut,
       restsFor: (server) =>
-        Math.max(0, Instant.left(healths.get(server.instance)?.restUntil ?? (0 as Instant))),
+        Math.max(0, Instant.remaining(healths.get(server.instance)?.restUntil ?? (0 as Instant))),
       out: () => [
         ...new Set([
           ...[...healths].filter(([, one]) => !Instant.isPast(one.outUntil)).map(([name]) => name),
--- a/src/upstream/prover.ts
+++ b/src/upstream/prover.ts
@@ -93,7 +93,7 @@
   const rests = isHearsay ? afterHearsay : { first, longest };
   let span = isHearsay ? 0 : first;
   for (let count = 0; !stop.signal.aborted; count += 1) {
-    await Timer.pause(span * (0.75 + Math.random() / 2), stop.signal);
+    await Timer.sleep(span * (0.75 + Math.random() / 2), stop.signal);
     const server = find(needs, instance);
     if (!server || stop.signal.aborted) return;
     const connection = await prove(needs, server, stop.signal);
--- a/src/upstream/trial.ts
+++ b/src/upstream/trial.ts
@@ -87,8 +87,8 @@
     const onLeave = () => end('left');
     const perTry = Instant.after(timeouts.per_try);
     const bounds = (): (readonly [Trial.Why, number])[] => [
-      ['per_try', Instant.left(perTry)],
-      ['total', Instant.left(deadline)],
+      ['per_try', Instant.remaining(perTry)],
+      ['total', Instant.remaining(deadline)],
     ];
     const isOpenedAtOnce = pick.group.proof !== undefined;
     const patience: readonly [Trial.Why, number][] = isOpenedAtOnce ? [['slow', slowConnect]] : [];
@@ -117,14 +117,14 @@
     needs.used.add(connection);
     await needs.settle();
     [why, span] = limit([['first_byte', timeouts.first_byte], ...bounds()]);
-    timer.move(span);
+    timer.reschedule(span);
     const wait = Timer.after(needs.suspectAfter, needs.onWait);
     const forget = needs.onLost?.(() => end('reset'));
     const begin = () => {
       needs.onSend();
       return true;
     };
-    const result = await connection.run(needs.request(Instant.left(deadline)), {
+    const result = await connection.run(needs.request(Instant.remaining(deadline)), {
       isTied: needs.tie !== undefined,
       signal: cut.signal,
       maySend: () =>
--- a/src/upstream/tries.ts
+++ b/src/upstream/tries.ts
@@ -144,7 +144,7 @@
       const until = Instant.after(grantWithin);
       do {
         if (isOver() || Instant.isPast(until)) return verdict('budget');
-        yield { kind: 'token', span: Instant.left(until) };
+        yield { kind: 'token', span: Instant.remaining(until) };
       } while (!plan.budget.spend());
       const anew = choose(tierIndex, true);
       if (!anew || (anew.index > tierIndex && hops >= rule.hops)) return verdict('no_server');
@@ -191,7 +191,7 @@
         Math.min(...rests, longestRetryAfter),
         backOff(rule.retry, retries, plan.pick().random),
       );
-      if (open.length === 0 || wait >= Instant.left(plan.deadline)) return verdict();
+      if (open.length === 0 || wait >= Instant.remaining(plan.deadline)) return verdict();
       plan.budget.want();
       yield { kind: 'pause', span: wait };
       retries += 1;
@@ -216,9 +216,9 @@
         if (told === undefined && plan.before.sent === 0) plan.budget.earn();
         told = await plan.run(step.value.pick, step.value.tier, step.value.hops);
       } else {
-        const span = Math.min(step.value.span, Instant.left(plan.deadline));
+        const span = Math.min(step.value.span, Instant.remaining(plan.deadline));
         if (step.value.kind === 'token') await plan.budget.arrival(span, plan.signal);
-        else await Timer.pause(span, plan.signal);
+        else await Timer.sleep(span, plan.signal);
       }
     }
   },
--- a/src/wire/frame.ts
+++ b/src/wire/frame.ts
@@ -219,21 +219,21 @@
 }
 
 const shape = { longs: Number, defaults: true, arrays: true, oneofs: true } as const;
-const longest = 32 * 1024 * 1024;
+const maxFrameBytes = 32 * 1024 * 1024;
 let unknown = 0;
 
 export const Frame = {
-  longest,
+  maxBytes: maxFrameBytes,
   encode(stamp: Stamp, frame: Frame.Body): Buffer {
     const { kind, ...body } = frame;
     const bytes = Schema.frame.encode(Schema.frame.fromObject({ stamp, [kind]: body })).finish();
-    if (bytes.length > longest) throw Failure.of('frame', 'frame too long', { length: bytes.length });
+    if (bytes.length > maxFrameBytes) throw Failure.of('frame', 'frame too long', { length: bytes.length });
     const framed = Buffer.allocUnsafe(4 + bytes.length);
     framed.writeUInt32BE(bytes.length, 0);
     framed.set(bytes, 4);
     return framed;
   },
-  unknown: () => unknown,
+  unknownCount: () => unknown,
   decode(bytes: Uint8Array): Frame | undefined {
     let plain: Record<string, unknown>;
     try {
--- a/src/wire/http-client.ts
+++ b/src/wire/http-client.ts
@@ -13,7 +13,7 @@
 /** Calls other programs. */
 export type HttpClient = {
   /** Fails when all of the answer has not come in time, or the signal says so. */
-  readonly call: (address: string, call: HttpClient.Call) => Promise<HttpClient.Answer>;
+  readonly call: (address: string, call: HttpClient.Call) => Promise<HttpClient.Response>;
   /** Ends all connections. */
   readonly close: () => void;
 };
@@ -27,20 +27,20 @@
     readonly body?: Buffer | undefined;
     readonly signal?: AbortSignal;
   };
-  type Answer = {
+  type Response = {
     readonly status: number;
     readonly headers: IncomingHttpHeaders;
     readonly body: Buffer;
   };
-  type Terms = {
+  type Options = {
     /** How long a call may take in all, in milliseconds. */
-    readonly within: number;
+    readonly timeout: number;
     /** How long a new connection may take, in milliseconds. */
-    readonly connectWithin?: number;
+    readonly connectTimeout?: number;
     /** How many connections each address is given. */
-    readonly connections: number;
+    readonly maxConnections: number;
     /** How long a connection that rests is kept, in milliseconds: less than the other program keeps it. */
-    readonly keepFor?: number;
+    readonly idleTimeout?: number;
   };
 }
 
@@ -78,10 +78,10 @@
 
 const run = (
   agent: Agent,
-  { within, connectWithin }: HttpClient.Terms,
+  { timeout: within, connectTimeout: connectWithin }: HttpClient.Options,
   address: string,
   { path, method = 'GET', headers = {}, body, signal }: HttpClient.Call,
-): Promise<HttpClient.Answer> =>
+): Promise<HttpClient.Response> =>
   new Promise((resolve, reject) => {
     if (signal?.aborted) return reject(signal.reason);
     const { host, port } = Address.checked(address);
@@ -112,8 +112,8 @@
 
 /** Makes clients. */
 export const HttpClient = {
-  of(terms: HttpClient.Terms): HttpClient {
-    const { connections, keepFor } = terms;
+  of(terms: HttpClient.Options): HttpClient {
+    const { maxConnections: connections, idleTimeout: keepFor } = terms;
     const idle = keepFor === undefined ? {} : { timeout: keepFor };
     const agent = new Agent({ keepAlive: true, maxSockets: connections, ...idle });
     return {
--- a/src/wire/http-get.ts
+++ b/src/wire/http-get.ts
@@ -4,19 +4,19 @@
 /** Reads documents of other programs. */
 export type HttpGet = {
   /** Reads what stands at the path; fails when all of it has not come in time. */
-  readonly read: (address: string, path: string) => Promise<HttpGet.Answer>;
+  readonly read: (address: string, path: string) => Promise<HttpGet.Response>;
 };
 
 /** What stands at a path. */
 export declare namespace HttpGet {
-  type Answer = { readonly status: number; readonly body: string };
+  type Response = { readonly status: number; readonly body: string };
 }
 
 /** Makes readers. */
 export const HttpGet = {
   /** An answer has to come whole within so many milliseconds. */
   of(within: number): HttpGet {
-    const client = HttpClient.of({ within, connections: 1 });
+    const client = HttpClient.of({ timeout: within, maxConnections: 1 });
     return {
       async read(address, path) {
         const { status, body } = await client.call(address, { path });
--- a/src/wire/link-pair.ts
+++ b/src/wire/link-pair.ts
@@ -10,7 +10,7 @@
 
 type End = { readonly link: Link; readonly take: (frame: Frame) => void; readonly end: () => void };
 
-const makeEnd = (terms: Link.Terms, peer: string, other: () => End): End => {
+const makeEnd = (terms: Link.Options, peer: string, other: () => End): End => {
   const phase = StateMachine.of('open', { open: ['closed'], closed: [] });
   const held: Frame[] = [];
   let wake: () => void = () => {};
@@ -20,7 +20,7 @@
   });
   const close = () => {
     if (phase.is('closed')) return;
-    phase.become('closed');
+    phase.transitionTo('closed');
     wake();
     resolveClosed();
     other().end();
@@ -63,7 +63,7 @@
 };
 
 export const LinkPair = {
-  of(first: Link.Terms, second: Link.Terms, name: string): LinkPair {
+  of(first: Link.Options, second: Link.Options, name: string): LinkPair {
     const a: End = makeEnd(first, name, () => b);
     const b: End = makeEnd(second, name, () => a);
     return [a.link, b.link];
--- a/src/wire/link-server.ts
+++ b/src/wire/link-server.ts
@@ -11,17 +11,17 @@
 
 export type LinkServer = {
   readonly address: Address;
-  readonly refused: () => number;
+  readonly refusedCount: () => number;
   readonly close: () => Promise<void>;
 };
 
 export declare namespace LinkServer {
   type Hello = Extract<Frame, { kind: 'hello' }>;
-  type Needs = {
+  type Options = {
     readonly address: Address;
     readonly stamp: () => Stamp;
     readonly age: () => number;
-    readonly isSteady?: boolean;
+    readonly pingsWhenBusy?: boolean;
     readonly serve: (link: Link, hello: Hello, frames: AsyncGenerator<Frame, void, void>) => Promise<void>;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   };
@@ -43,7 +43,7 @@
 
 export const LinkServer = {
   /** Serves one link until it ends; false when what it sent could not be read or it said no hello. */
-  async attend(link: Link, needs: Pick<LinkServer.Needs, 'age' | 'serve' | 'note'>): Promise<boolean> {
+  async attend(link: Link, needs: Pick<LinkServer.Options, 'age' | 'serve' | 'note'>): Promise<boolean> {
     const late = Timer.after(helloWithin, () => link.close(Failure.of('silence', 'no hello')));
     const frames = link.frames();
     try {
@@ -60,7 +60,7 @@
       link.close();
     }
   },
-  async open(needs: LinkServer.Needs): Promise<LinkServer> {
+  async open(needs: LinkServer.Options): Promise<LinkServer> {
     const links = new Set<Link>();
     let refused = 0;
     const attend = async (link: Link) => {
@@ -73,12 +73,12 @@
         socket.destroy();
         return;
       }
-      const link = Link.over(socket, {
+      const link = Link.fromSocket(socket, {
         stamp: needs.stamp,
         age: needs.age,
         pingEvery,
         silence,
-        isSteady: needs.isSteady ?? false,
+        pingsWhenBusy: needs.pingsWhenBusy ?? false,
       });
       links.add(link);
       void attend(link);
@@ -87,7 +87,7 @@
     server.on('error', (error) => needs.note('doorway failure', { why: Failure.text(error) }));
     return {
       address,
-      refused: () => refused,
+      refusedCount: () => refused,
       close: () =>
         new Promise((resolve) => {
           server.close(() => resolve());
--- a/src/wire/link.ts
+++ b/src/wire/link.ts
@@ -23,13 +23,13 @@
 };
 
 export declare namespace Link {
-  type Terms = {
+  type Options = {
     readonly stamp: () => Stamp;
     readonly age: () => number;
     readonly pingEvery?: number;
     readonly silence?: number;
     /** Pings come however much else is sent, for they carry how old the last word from the primary is. */
-    readonly isSteady?: boolean;
+    readonly pingsWhenBusy?: boolean;
   };
 }
 
@@ -42,7 +42,7 @@
     held = held.length === 0 ? chunk : Buffer.concat([held, chunk]);
     while (held.length >= 4) {
       const length = held.readUInt32BE(0);
-      if (length > Frame.longest) throw Failure.of('frame', 'frame too long', { length });
+      if (length > Frame.maxBytes) throw Failure.of('frame', 'frame too long', { length });
       if (held.length < 4 + length) break;
       const frame = Frame.decode(held.subarray(4, 4 + length));
       held = held.subarray(4 + length);
@@ -53,7 +53,7 @@
 }
 
 export const Link = {
-  over(socket: Socket, terms: Link.Terms): Link {
+  fromSocket(socket: Socket, terms: Link.Options): Link {
     const silence = terms.silence ?? 2000;
     const phase = StateMachine.of('open', { open: ['closed'], closed: [] });
     let end: () => void = () => {};
@@ -62,7 +62,7 @@
     });
     const close = (cause?: Error) => {
       if (phase.is('closed')) return;
-      phase.become('closed');
+      phase.transitionTo('closed');
       pings.stop();
       quiet.stop();
       socket.destroy(cause);
@@ -70,12 +70,12 @@
     };
     const send = (body: Frame.Body): boolean => {
       if (phase.is('closed') || socket.destroyed) return false;
-      if (socket.writableLength > 2 * Frame.longest) {
+      if (socket.writableLength > 2 * Frame.maxBytes) {
         close(Failure.of('link', 'peer reads too slowly'));
         return false;
       }
       socket.write(Frame.encode(terms.stamp(), body));
-      if (!terms.isSteady) pings.again();
+      if (!terms.pingsWhenBusy) pings.restart();
       return true;
     };
     socket.setNoDelay(true);
@@ -89,7 +89,7 @@
     });
     socket.on('data', () => {
       heard += 1;
-      if (phase.is('open')) quiet.again();
+      if (phase.is('open')) quiet.restart();
     });
     socket.pause();
     socket.on('close', () => close());
@@ -116,7 +116,7 @@
     };
   },
   /** Dials anew while an attempt is not answered: a peer that was without power answers only later calls soon. */
-  async open(address: Address, terms: Link.Terms, signal?: AbortSignal, dial = connect): Promise<Link> {
+  async open(address: Address, terms: Link.Options, signal?: AbortSignal, dial = connect): Promise<Link> {
     const sockets: Socket[] = [];
     const made = await new Promise<Socket>((resolve, reject) => {
       const settle = () => {
@@ -143,11 +143,11 @@
       const late = Timer.after(openWithin, fail);
       const again = Timer.after(dialAgainAfter, () => {
         attempt();
-        again.again();
+        again.restart();
       });
       signal?.addEventListener('abort', fail, { once: true });
       attempt();
     });
-    return Link.over(made, terms);
+    return Link.fromSocket(made, terms);
   },
 };
--- a/src/wire/peer-client.ts
+++ b/src/wire/peer-client.ts
@@ -27,7 +27,7 @@
 };
 
 export declare namespace PeerClient {
-  type Needs = {
+  type Options = {
     readonly place: string;
     readonly stamp: () => Frame['stamp'];
     readonly age: () => number;
@@ -48,7 +48,7 @@
 };
 
 export const PeerClient = {
-  run(needs: PeerClient.Needs): PeerClient {
+  start(needs: PeerClient.Options): PeerClient {
     const stop = new AbortController();
     const waiting = new Map<number, (reply: Frame.Reply | Error) => void>();
     let serial = 0;
@@ -84,7 +84,7 @@
           const reply = frame.kind === 'vote' ? wholeOf(frame, last) : frame;
           if (reply.kind === 'vote') {
             disk = reply.core.disk;
-            protocol = Protocol.ofBoth(reply.protocol);
+            protocol = Protocol.negotiate(reply.protocol);
             if (reply.digest) last = reply;
           }
           waiting.get(reply.serial)?.(reply);
@@ -100,7 +100,7 @@
     const run = async () => {
       while (!stop.signal.aborted) {
         await attend().catch(() => undefined);
-        await Timer.pause(100, stop.signal);
+        await Timer.sleep(100, stop.signal);
       }
     };
     const done = run();
--- a/src/wire/protocol.ts
+++ b/src/wire/protocol.ts
@@ -9,5 +9,5 @@
   /** States go between cores as transfers in pieces (`offer`, `piece`, `position`); told with every vote. */
   transfers: 3,
   newest: 3,
-  ofBoth: (theirs: number | undefined): Protocol => Math.min(theirs ?? 0, Protocol.newest),
+  negotiate: (theirs: number | undefined): Protocol => Math.min(theirs ?? 0, Protocol.newest),
 };
--- a/test/budget-reserve.test.ts
+++ b/test/budget-reserve.test.ts
@@ -32,29 +32,29 @@
 
   it('keeps fresh tokens in place of those that expire while a try waits', () => {
     earn(5);
-    clock.pass(Purse.lifetime - 1000);
+    clock.advance(Purse.lifetime - 1000);
     earn(12);
     budget.tend();
-    clock.pass(1200);
+    clock.advance(1200);
     assert.equal(budget.spend(), true);
   });
 
   it('passes on all that is beyond a reserve that lasts, the newest first', () => {
     earn(5);
-    clock.pass(1000);
+    clock.advance(1000);
     earn(12);
     budget.tend();
     assert.equal(passedOn, 12 * earned);
-    clock.pass(Purse.lifetime - 1000 + 1);
+    clock.advance(Purse.lifetime - 1000 + 1);
     assert.equal(budget.held(), 0);
   });
 
   it('asks for what is missing of the reserve, and not while it holds one', () => {
     earn(5);
-    clock.pass(Purse.lifetime - 1000);
+    clock.advance(Purse.lifetime - 1000);
     budget.tend();
     assert.equal(asked, 0);
-    clock.pass(1001);
+    clock.advance(1001);
     budget.tend();
     assert.equal(asked, whole);
   });
@@ -69,7 +69,7 @@
       budget.tend();
       if (turn > 2 && budget.held() < 1) turnsWithout += 1;
       if (turn % 40 === 39 && budget.spend()) spent += whole;
-      clock.pass(500);
+      clock.advance(500);
     }
     assert.equal(spent, 10 * whole);
     assert.ok(turnsWithout <= 2 * 10, `${turnsWithout} turns without a token`);
--- a/test/catch-up.test.ts
+++ b/test/catch-up.test.ts
@@ -109,7 +109,7 @@
   it('brings a member with a slow disk to the newest while changes go on', async (test) => {
     kit = await ReplicaKit.start(3);
     const third = kit.machines[2]!;
-    third.beforeWrite = () => Timer.pause(1500);
+    third.beforeWrite = () => Timer.sleep(1500);
     const primary = await kit.lead([0, 1, 2]);
     third.relay.cut();
     await putMany(primary, 10);
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -18,8 +18,8 @@
 
 const serve = AnsweringServer.start;
 
-const clientOf = (terms: Partial<HttpClient.Terms> = {}): HttpClient => {
-  const client = HttpClient.of({ within: 5000, connections: 2, ...terms });
+const clientOf = (terms: Partial<HttpClient.Options> = {}): HttpClient => {
+  const client = HttpClient.of({ timeout: 5000, maxConnections: 2, ...terms });
   ends.push(client.close);
   return client;
 };
@@ -65,14 +65,14 @@
   });
   it('takes connections that rest, as many as the client is given', async () => {
     const { address, connections } = await serve(echo);
-    const client = clientOf({ connections: 2 });
+    const client = clientOf({ maxConnections: 2 });
     for (let round = 0; round < 3; round += 1)
       await Promise.all(['/1', '/2', '/3', '/4'].map((path) => client.call(address, { path })));
     assert.equal(connections(), 2);
   });
   it('takes no connection that has rested for longer than the client keeps one', async () => {
     const { address, connections } = await serve(echo);
-    const client = clientOf({ keepFor: 100 });
+    const client = clientOf({ idleTimeout: 100 });
     await client.call(address, { path: '/' });
     await new Promise((resolve) => setTimeout(resolve, 400));
     await client.call(address, { path: '/' });
@@ -91,7 +91,7 @@
     );
   });
   it('tells a refused connection from a call that may have arrived', async () => {
-    const client = clientOf({ connectWithin: 200, within: 1000 });
+    const client = clientOf({ connectTimeout: 200, timeout: 1000 });
     await assert.rejects(client.call('127.0.0.1:1', { path: '/' }), { code: 'ECONNREFUSED' });
     const { address } = await serve((request) => request.socket.destroy());
     await assert.rejects(
@@ -102,11 +102,11 @@
   it('tells a connection that is not there in time from a call that may have arrived', async () => {
     const { port, fill } = await frozenListener();
     await fill();
-    const call = clientOf({ connectWithin: 200 }).call(`127.0.0.1:${port}`, { path: '/', method: 'PUT' });
+    const call = clientOf({ connectTimeout: 200 }).call(`127.0.0.1:${port}`, { path: '/', method: 'PUT' });
     await assert.rejects(call, (error) => Failure.is(error, 'connect'));
   });
   it('fails when all of the answer has not come in time', async () => {
     const { address } = await serve((_request, response) => void response.writeHead(200).write('half'));
-    await assert.rejects(clientOf({ within: 200 }).call(address, { path: '/' }));
+    await assert.rejects(clientOf({ timeout: 200 }).call(address, { path: '/' }));
   });
 });
--- a/test/link-pair.test.ts
+++ b/test/link-pair.test.ts
@@ -83,7 +83,7 @@
     });
     try {
       const [socket] = (await once(seed, 'connection')) as [Socket];
-      const parent = Link.over(socket, { ...terms(5), isSteady: true, pingEvery: 20 });
+      const parent = Link.fromSocket(socket, { ...terms(5), pingsWhenBusy: true, pingEvery: 20 });
       const document = { zones: {}, rules: [] } as unknown as Document;
       const manifest = { revision: 5, epoch: 1, document } as unknown as View['manifest'];
       const view = { ...View.empty, stamp: Stamp.of(1, 5), manifest };
@@ -116,10 +116,10 @@
       once(server, 'connection') as Promise<[Socket]>,
       Link.open(
         { host: '127.0.0.1', port: (server.address() as AddressInfo).port },
-        { ...terms(1), pingEvery: 40, isSteady },
+        { ...terms(1), pingEvery: 40, pingsWhenBusy: isSteady },
       ),
     ]);
-    const far = Link.over(other, terms(2));
+    const far = Link.fromSocket(other, terms(2));
     const pings: Frame[] = [];
     const isDone = (async () => {
       let rosters = 0;
@@ -147,8 +147,8 @@
     await once(server, 'listening');
     const own = connect({ host: '127.0.0.1', port: (server.address() as AddressInfo).port });
     const [other] = (await once(server, 'connection')) as [Socket];
-    const link = Link.over(own, { ...terms(3), pingEvery: 20 });
-    const far = Link.over(other, terms(1));
+    const link = Link.fromSocket(own, { ...terms(3), pingEvery: 20 });
+    const far = Link.fromSocket(other, terms(1));
     link.send(rosterOf([]));
     const [roster, ...pings] = await collect(far, 3);
     assert.deepEqual([roster?.kind, ...pings.map(({ kind }) => kind)], ['roster', 'ping', 'ping']);
--- a/test/manual-clock.ts
+++ b/test/manual-clock.ts
@@ -1,6 +1,6 @@
 // A steady clock that moves only when a test says so, in place of the one that Moment reads.
 export type ManualClock = {
-  readonly pass: (span: number) => void;
+  readonly advance: (span: number) => void;
   readonly uninstall: () => void;
 };
 
@@ -16,7 +16,7 @@
     };
     process.hrtime = Object.assign(read, { bigint: real.bigint }) as typeof process.hrtime;
     return {
-      pass(span) {
+      advance(span) {
         passed += span;
       },
       uninstall() {
--- a/test/membership-leave.test.ts
+++ b/test/membership-leave.test.ts
@@ -77,7 +77,7 @@
     const { membership, disks } = primaryOfThree();
     assert.equal(await membership.leave(coreOf('c'), null), '');
     await membership.join(coreOf('d'));
-    clock.pass(2001);
+    clock.advance(2001);
     assert.equal(await membership.leave(coreOf('c'), null), '');
     assert.deepEqual(disks(), ['a', 'b', 'c']);
   });
--- a/test/peer-client.test.ts
+++ b/test/peer-client.test.ts
@@ -17,7 +17,7 @@
   it('carries a request over a link on which nothing was heard yet, and is up only after', async () => {
     const terms = { stamp: () => Stamp.none, age: () => 0, pingEvery: 60_000, silence: 60_000 };
     const server = createServer((socket) => {
-      const link = Link.over(socket, terms);
+      const link = Link.fromSocket(socket, terms);
       void (async () => {
         for await (const frame of link.frames())
           if (frame.kind === 'yield')
@@ -30,7 +30,7 @@
     const standing = new Promise<void>((resolve) => {
       stands = resolve;
     });
-    const courier = PeerClient.run({
+    const courier = PeerClient.start({
       place: `${at.host}:${at.port}`,
       stamp: () => Stamp.none,
       age: () => 0,
@@ -97,7 +97,7 @@
         if (Frame.decode(bytes.subarray(4))?.kind === 'vote') sent.push(bytes.length);
         return write(bytes);
       }) as typeof socket.write;
-      const link = Link.over(socket, { stamp: () => Stamp.none, age: () => 0 });
+      const link = Link.fromSocket(socket, { stamp: () => Stamp.none, age: () => 0 });
       const frames = link.frames();
       void frames.next().then(() => desk.serve(link, frames));
     });
@@ -106,7 +106,7 @@
     const standing = new Promise<void>((resolve) => {
       stands = resolve;
     });
-    const courier = PeerClient.run({
+    const courier = PeerClient.start({
       place: `${at.host}:${at.port}`,
       stamp: () => Stamp.none,
       age: () => 0,
--- a/test/ready.test.ts
+++ b/test/ready.test.ts
@@ -42,9 +42,9 @@
     try {
       const { state, reason } = start();
       state.compiled = inForce();
-      clock.pass(Ready.longestWait - 1);
+      clock.advance(Ready.longestWait - 1);
       assert.equal(reason(), 'no list of servers yet');
-      clock.pass(1);
+      clock.advance(1);
       assert.equal(reason(), undefined);
     } finally {
       clock.uninstall();
--- a/test/replica-kit.ts
+++ b/test/replica-kit.ts
@@ -148,11 +148,11 @@
     isSound: () => true,
     isCompacting: () => false,
     compacted: async () => {},
-    idle: () => turns.take(async () => {}),
+    idle: () => turns.runExclusive(async () => {}),
     mend: async () => {},
     close: () => file.close(),
     take: (change, previous) =>
-      turns.take(async () => {
+      turns.runExclusive(async () => {
         await beforeWrite();
         if (previous && !Stamp.isSame(previous, disk.state.stamp)) throw new Error('another state is held');
         if (change.kind !== 'whole' && !Stamp.isNewer(change.stamp, disk.state.stamp))
@@ -222,7 +222,7 @@
       note: () => {},
     });
     server = createServer((socket) => {
-      const link = Link.over(socket, terms);
+      const link = Link.fromSocket(socket, terms);
       links.push(link);
       link.send({ kind: 'ping', age: 0 });
       async function* requests() {
@@ -311,7 +311,7 @@
     for (const { relay } of others)
       couriers.set(
         relay.place,
-        PeerClient.run({ place: relay.place, stamp: () => Stamp.none, age: () => 0, hello: () => hello }),
+        PeerClient.start({ place: relay.place, stamp: () => Stamp.none, age: () => 0, hello: () => hello }),
       );
     const running: Primary[] = [];
     const allUp = async () => {
--- a/test/ticker.test.ts
+++ b/test/ticker.test.ts
@@ -22,7 +22,7 @@
   const pass = (span: number) => {
     for (let count = 0; count < span; count += 1) {
       now += 1;
-      clock.pass(1);
+      clock.advance(1);
       mock.timers.tick(1);
     }
   };
@@ -113,7 +113,7 @@
   it('is not done any more once it is stopped, also by what rings in the same turn', () => {
     const second = start(200);
     const first = Ticker.start(200, () => second.ticker.stop());
-    second.ticker.again();
+    second.ticker.restart();
     pass(1000);
     first.stop();
     second.ticker.stop();
@@ -125,13 +125,13 @@
   it('begins its span anew when asked, whatever the phase, and takes another span', () => {
     for (let phase = 0; phase < 300; phase += 11) {
       const { rings, ticker } = start(300);
-      ticker.again();
+      ticker.restart();
       for (let count = 0; count < 10; count += 1) {
         pass(200);
-        ticker.again();
+        ticker.restart();
       }
       assert.deepEqual(rings, [], `begun ${phase} ms later`);
-      ticker.move(100);
+      ticker.reschedule(100);
       pass(1000);
       assert.ok(rings.length >= 9, `${rings.length} rings`);
       ticker.stop();
--- a/test/word-age.test.ts
+++ b/test/word-age.test.ts
@@ -25,7 +25,7 @@
       LogBuffer.of('agent'),
     );
     const [socket] = (await once(core, 'connection')) as [Socket];
-    const above = Link.over(socket, { ...terms, pingEvery: 60_000, silence: 60_000 });
+    const above = Link.fromSocket(socket, { ...terms, pingEvery: 60_000, silence: 60_000 });
     const frames = above.frames();
     const { value: hello } = await frames.next();
     assert.ok(hello?.kind === 'hello');
--- a/tools/experiment/front.ts
+++ b/tools/experiment/front.ts
@@ -241,7 +241,7 @@
     let sentAt = Instant.now();
     const trial = await request.run({
       pick,
-      left: Instant.left(deadline),
+      left: Instant.remaining(deadline),
       signal: request.signal,
       after,
       job,
@@ -288,7 +288,7 @@
     });
     const watch = {
       onStop: () => {},
-      heard: () => timer.again(),
+      heard: () => timer.restart(),
       began() {
         timer.stop();
         if (gapAfter !== undefined) timer = Timer.after(gapAfter, () => parts.prover.suspect(server));
--- a/tools/plants/plants.ts
+++ b/tools/plants/plants.ts
@@ -131,7 +131,7 @@
     name: 'a node that starts empty serves under whatever it is handed',
     file: 'src/news/voucher.js',
     from: "if (phase.is('vouched') || !feed.view().manifest)\n                return;",
-    to: "if (phase.is('vouched') || !feed.view().manifest) return; return phase.become('vouched');",
+    to: "if (phase.is('vouched') || !feed.view().manifest) return; return phase.transitionTo('vouched');",
     judge: 'noDriftBack',
     only: ['frontBesideStale'],
     seconds: 22,
--- a/tools/simulation/instance.ts
+++ b/tools/simulation/instance.ts
@@ -159,7 +159,7 @@
     );
   const sockets = () => Sockets.of(current().network!, current().process);
   const HttpClient: Pick<typeof ProductClient, 'of'> = {
-    of: ({ within, connectWithin = within }) => ({
+    of: ({ timeout: within, connectTimeout: connectWithin = within }) => ({
       call: (address, { path, method = 'GET', headers = {}, body }) =>
         Http.call(current().network!, current().process, {
           to: address,
--- a/tools/simulation/machine.ts
+++ b/tools/simulation/machine.ts
@@ -118,7 +118,7 @@
         initial: isInitial,
       } as unknown as Parameters<Program['start']>[0];
       startedAt = clock.at();
-      instance.program.start(startup, { note, alert: note, entries: () => [] }).then(
+      instance.program.start(startup, { info: note, error: note, entries: () => [] }).then(
         (made) => {
           if (process === mine) running = made;
         },
