--- a/src/agent/program.ts
+++ b/src/agent/program.ts
@@ -137,7 +137,7 @@
       join(theirs) {
         const [own, other] = LinkPair.of({ stamp: feed.stamp, age: feed.age }, theirs, startup.node);
         joined.add(own);
-        void LinkServer.attend(own, { ...terms, serve: serveProxy }).finally(() => joined.delete(own));
+        void LinkServer.serveLink(own, { ...terms, serve: serveProxy }).finally(() => joined.delete(own));
         return other;
       },
       async drain() {
--- a/src/control/peers.ts
+++ b/src/control/peers.ts
@@ -58,11 +58,11 @@
           if (!held.has(place))
             held.set(place, {
               courier: PeerClient.start({
-                place,
+                address: place,
                 stamp: feed.stamp,
                 age: needs.age,
                 hello,
-                onUp: needs.onUp,
+                onConnect: needs.onUp,
               }),
               uplink: Uplink.run({
                 feed,
--- a/src/wire/link-server.ts
+++ b/src/wire/link-server.ts
@@ -54,7 +54,7 @@
 /** Serves links. */
 export const LinkServer = {
   /** Serves one link until it ends; false when it sent no hello or an invalid frame. */
-  async attend(link: Link, options: Pick<LinkServer.Options, 'age' | 'serve' | 'note'>): Promise<boolean> {
+  async serveLink(link: Link, options: Pick<LinkServer.Options, 'age' | 'serve' | 'note'>): Promise<boolean> {
     const helloTimer = Timer.after(helloTimeoutMs, () =>
       link.close(Failure.of('silence', 'no hello in time')),
     );
@@ -78,7 +78,7 @@
     const links = new Set<Link>();
     let refusedLinks = 0;
     const serveAndCount = async (link: Link) => {
-      if (!(await LinkServer.attend(link, options))) refusedLinks += 1;
+      if (!(await LinkServer.serveLink(link, options))) refusedLinks += 1;
       links.delete(link);
     };
     const server = createServer((socket) => {
--- a/src/wire/peer-client.ts
+++ b/src/wire/peer-client.ts
@@ -29,7 +29,7 @@
   readonly reaches: (core: Frame.Core) => boolean;
   /** The protocol version shared with the peer, from its last vote; undefined before the first vote. */
   readonly protocol?: () => Protocol | undefined;
-  readonly place: string;
+  readonly address: string;
   readonly stop: () => Promise<void>;
 };
 
@@ -37,14 +37,14 @@
 export declare namespace PeerClient {
   type Options = {
     /** The address of the peer, as `host:port`. */
-    readonly place: string;
+    readonly address: string;
     readonly stamp: () => Frame['stamp'];
     readonly age: () => number;
     readonly hello: () => Extract<Frame.Body, { kind: 'hello' }>;
     /** Milliseconds without received data after which the link is closed. */
     readonly silence?: number;
     /** Called when a link is connected and requests can be sent. */
-    readonly onUp?: () => void;
+    readonly onConnect?: () => void;
   };
 }
 
@@ -74,11 +74,11 @@
     let protocol: Protocol | undefined;
 
     const failAll = () => {
-      const cause = Failure.of('link', `the link to ${options.place} was closed`);
+      const cause = Failure.of('link', `the link to ${options.address} was closed`);
       for (const settle of [...pending.values()]) settle(cause);
     };
     const runLink = async () => {
-      const address = Address.parse(options.place);
+      const address = Address.parse(options.address);
       if (!address) return;
       const opened = await Link.open(
         address,
@@ -90,7 +90,7 @@
       try {
         opened.send(options.hello());
         connected = opened;
-        options.onUp?.();
+        options.onConnect?.();
         for await (const frame of opened.frames()) {
           lastReceived = Instant.now();
           link = opened;
@@ -119,7 +119,7 @@
     };
     const done = reconnect();
     return {
-      place: options.place,
+      address: options.address,
       isUp: () => link !== undefined,
       downFor: () => (link ? 0 : Instant.since(lastReceived)),
       reaches: (core) => disk === '' || disk === core.disk,
@@ -134,12 +134,12 @@
             else resolve(reply);
           };
           const timer = Timer.after(within, () =>
-            settle(Failure.of('silence', `${options.place} did not answer`)),
+            settle(Failure.of('silence', `${options.address} did not answer`)),
           );
           pending.set(requestSerial, settle);
           const known = request.kind === 'peek' && lastVote?.digest ? { known: lastVote.digest } : {};
           if (!connected?.send({ ...request, ...known, serial: requestSerial } as Frame.Request))
-            settle(Failure.of('link', `no link to ${options.place}`));
+            settle(Failure.of('link', `no link to ${options.address}`));
         }),
       async stop() {
         stop.abort();
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -123,7 +123,7 @@
       isUp: () => !isCut(),
       downFor: () => (isCut() ? Number.POSITIVE_INFINITY : 0),
       reaches: () => true,
-      place: members[to]!.self.wire,
+      address: members[to]!.self.wire,
       stop: async () => {},
     };
   };
--- a/test/model-follows.test.ts
+++ b/test/model-follows.test.ts
@@ -204,7 +204,7 @@
         isUp: () => true,
         downFor: () => 0,
         reaches: () => true,
-        place: '',
+        address: '',
         stop: async () => {},
       });
       const others = disks.map((_code, index) => index).filter((index) => index !== proposer);
--- a/test/peer-client.test.ts
+++ b/test/peer-client.test.ts
@@ -31,11 +31,11 @@
       markConnected = resolve;
     });
     const client = PeerClient.start({
-      place: `${bound.host}:${bound.port}`,
+      address: `${bound.host}:${bound.port}`,
       stamp: () => Stamp.none,
       age: () => 0,
       hello: () => hello,
-      onUp: markConnected,
+      onConnect: markConnected,
     });
     try {
       await connected;
@@ -107,11 +107,11 @@
       markConnected = resolve;
     });
     const client = PeerClient.start({
-      place: `${bound.host}:${bound.port}`,
+      address: `${bound.host}:${bound.port}`,
       stamp: () => Stamp.none,
       age: () => 0,
       hello: () => ({ kind: 'hello', self: {} as never, version: '', aim: 'core' }),
-      onUp: markConnected,
+      onConnect: markConnected,
     });
     try {
       await connected;
--- a/test/register.test.ts
+++ b/test/register.test.ts
@@ -54,7 +54,7 @@
     isUp: () => true,
     downFor: () => 0,
     reaches: () => true,
-    place: String(to),
+    address: String(to),
     stop: async () => {},
   });
   for (let index = 0; index < count; index += 1) {
--- a/test/replica-kit.ts
+++ b/test/replica-kit.ts
@@ -311,7 +311,7 @@
     for (const { relay } of others)
       couriers.set(
         relay.place,
-        PeerClient.start({ place: relay.place, stamp: () => Stamp.none, age: () => 0, hello: () => hello }),
+        PeerClient.start({ address: relay.place, stamp: () => Stamp.none, age: () => 0, hello: () => hello }),
       );
     const running: Primary[] = [];
     const allUp = async () => {
