--- a/src/common/epoch.ts
+++ b/src/common/epoch.ts
@@ -1,4 +1,5 @@
 /** Epochs of the replicated state, as a branded number. */
+
 /**
  * Numbers the terms of primaries. A node that has promised an epoch rejects every message with a lower one.
  */
--- a/src/common/instant.ts
+++ b/src/common/instant.ts
@@ -2,6 +2,7 @@
  * Points in time on the monotonic clock of this process, in milliseconds. The wall clock can jump, so it appears only in
  * output for people and never in a decision.
  */
+
 /** A point in time, in milliseconds since this module was loaded. */
 export type Instant = number & { readonly kind: 'moment' };
 
@@ -24,6 +25,8 @@
   remaining: (until: Instant): number => until - now(),
   isPast: (until: Instant): boolean => now() >= until,
   earliest: (a: Instant, b: Instant): Instant => (a < b ? a : b),
+  /** Later than every other instant. */
   never: Number.POSITIVE_INFINITY as Instant,
+  /** Earlier than every other instant. */
   past: Number.NEGATIVE_INFINITY as Instant,
 };
--- a/src/common/mutex.ts
+++ b/src/common/mutex.ts
@@ -1,4 +1,5 @@
 /** An asynchronous mutual-exclusion lock. */
+
 /** Runs one task at a time, in the order of the calls. A task that rejects does not affect the next one. */
 export type Mutex = { readonly runExclusive: <T>(task: () => Promise<T>) => Promise<T> };
 
--- a/src/common/revision.ts
+++ b/src/common/revision.ts
@@ -1,4 +1,5 @@
 /** Revisions of the replicated state, as a branded number. */
+
 /** Counts the acknowledged changes of the replicated state. It only grows, which orders revisions within one epoch. */
 export type Revision = number & { readonly kind: 'revision' };
 
--- a/src/common/state-machine.ts
+++ b/src/common/state-machine.ts
@@ -1,4 +1,5 @@
 /** A finite state machine with an explicit table of allowed transitions. */
+
 /** A current state and the only way to change it. */
 export type StateMachine<S extends string> = {
   readonly state: S;
--- a/src/log/log-buffer.ts
+++ b/src/log/log-buffer.ts
@@ -2,6 +2,7 @@
  * The log of a process: a ring buffer of the latest entries in memory. Errors flush the new entries to standard error,
  * and the operations port serves all of them.
  */
+
 /** Collects log entries. */
 export type LogBuffer = {
   /** Adds an entry that is written out only if an error follows. */
--- a/src/wire/link-server.ts
+++ b/src/wire/link-server.ts
@@ -110,5 +110,5 @@
     };
   },
   /** The bound address, as `host:port`. */
-  text: (doorway: LinkServer): string => Address.text(doorway.address),
+  text: (server: LinkServer): string => Address.text(server.address),
 };
--- a/src/wire/link.ts
+++ b/src/wire/link.ts
@@ -32,7 +32,7 @@
   type Options = {
     /** The stamp of the sender, for each frame. */
     readonly stamp: () => Stamp;
-    /** How long ago the primary was last heard from, in milliseconds, for each ping. */
+    /** The age of the last message from the primary, in milliseconds, for each ping. */
     readonly age: () => number;
     /** Interval of pings, in milliseconds. */
     readonly pingEvery?: number;
--- a/src/wire/peer-client.ts
+++ b/src/wire/peer-client.ts
@@ -20,7 +20,7 @@
   readonly ask: (request: WithoutSerial<Frame.Request>, within: number) => Promise<Frame.Reply>;
   /** Whether something was received over the current link. Requests are sent earlier, as soon as it is connected. */
   readonly isUp: () => boolean;
-  /** Milliseconds since something was last received, or 0 while the link is up. */
+  /** Milliseconds since something was last received or the client was started; 0 while the link is up. */
   readonly downFor: () => number;
   /**
    * Whether this core answers at the address. The last vote names the disk that answered there, which may differ from
--- a/src/wire/protocol.ts
+++ b/src/wire/protocol.ts
@@ -2,6 +2,7 @@
  * Versions of the protocol between processes. Each end sends its version when it joins, and the lower one applies.
  * Programs older than the version numbers send none, which counts as 0. Fields and frame kinds are only ever added.
  */
+
 /** A protocol version. */
 export type Protocol = number;
 
--- a/test/manual-clock.ts
+++ b/test/manual-clock.ts
@@ -1,4 +1,5 @@
 /** A monotonic clock that only a test advances, in place of the one that `Instant` reads. */
+
 /** An installed manual clock. */
 export type ManualClock = {
   /** Advances the clock, in milliseconds. */
