--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -1,6 +1,12 @@
 // A control node as a program: its disk, its part of the register, replication, sessions with agents,
 // and the HTTP interface.
 import type { Server } from 'node:http';
+import { Address } from '../common/address.js';
+import { Epoch } from '../common/epoch.js';
+import { Id } from '../common/id.js';
+import { Instant } from '../common/instant.js';
+import { Listen } from '../common/listen.js';
+import { Timer } from '../common/timer.js';
 import { BudgetDuty } from '../duty/budget-duty.js';
 import { FailureSums } from '../duty/failure-sums.js';
 import { ListDuty } from '../duty/list-duty.js';
@@ -8,13 +14,7 @@
 import { QuotaDuty } from '../duty/quota-duty.js';
 import { ReportDuty } from '../duty/report-duty.js';
 import { Proposer } from '../epoch/proposer.js';
-import { Address } from '../kinds/address.js';
-import { Epoch } from '../kinds/epoch.js';
-import { Ident } from '../kinds/ident.js';
-import { Listen } from '../kinds/listen.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
-import type { Ring } from '../log/ring.js';
+import type { LogBuffer } from '../log/log-buffer.js';
 import { Children } from '../membership/children.js';
 import { Downlink } from '../membership/downlink.js';
 import { Places } from '../membership/places.js';
@@ -31,8 +31,8 @@
 import type { Startup } from '../startup/startup.js';
 import { Version } from '../startup/version.js';
 import { Seal } from '../store/seal.js';
-import { Doorway } from '../wire/doorway.js';
 import { Frame } from '../wire/frame.js';
+import { LinkServer } from '../wire/link-server.js';
 import type { Adapter } from './adapter.js';
 import { RenewList } from './commands/renew-list.js';
 import { Core } from './core.js';
@@ -55,7 +55,7 @@
 const stopWithin = 750;
 
 export type Control = {
-  readonly start: (startup: Startup['control'], ring: Ring, adapter?: Adapter) => Promise<Program>;
+  readonly start: (startup: Startup['control'], ring: LogBuffer, adapter?: Adapter) => Promise<Program>;
 };
 
 const closeServer = (server: Server): Promise<void> =>
@@ -66,11 +66,11 @@
 
 export const Control: Control = {
   async start(startup, ring, adapter = {}) {
-    const began = Moment.now();
+    const began = Instant.now();
     const seal = startup.key_file === undefined ? undefined : await Seal.read(startup.key_file);
-    const { register, store } = await Folder.open(startup.data, ring.alert, seal);
+    const { register, store } = await Folder.open(startup.data, ring.error, seal);
     const feed = Feed.of();
-    const boot = Ident.boot();
+    const boot = Id.boot();
     let wire = startup.wire;
     let http = startup.http;
     let core: Core | undefined;
@@ -115,7 +115,7 @@
       onFailures: (failed) => children.broadcast({ kind: 'failures', failed }, isBelow),
       onCold: ({ stamp: _stamp, ...frame }) => children.broadcast(frame, isBelow),
       onUp: () => core?.stir(),
-      note: ring.note,
+      note: ring.info,
     });
     const quotas = QuotaDuty.of({
       quotaOf: (team) => feed.view().manifest?.document.teams[team]?.quota,
@@ -154,7 +154,7 @@
       leave: (leaving, successor) =>
         core?.release(leaving, successor) ?? Promise.resolve('this core has just started'),
       join: (joining) => core?.join(joining) ?? Promise.resolve('this core has just started'),
-      note: ring.note,
+      note: ring.info,
     });
     const controls = () =>
       roll
@@ -178,12 +178,12 @@
         .slice(0, nearbyAgents)
         .map((one) => one.wire);
     };
-    const doorway = await Doorway.open({
+    const doorway = await LinkServer.open({
       address: Address.checked(startup.wire),
       stamp: feed.stamp,
       age,
-      isSteady: true,
-      note: ring.note,
+      pingsWhenBusy: true,
+      note: ring.info,
       serve: (link, hello, frames) =>
         hello.aim === 'core'
           ? desk.serve(link, frames)
@@ -204,7 +204,7 @@
               onFailures: failures.add,
             }),
     });
-    wire = Doorway.text(doorway);
+    wire = LinkServer.text(doorway);
     core = Core.of({
       register,
       store,
@@ -222,8 +222,8 @@
       publish(view) {
         if (view.manifest) feed.offer(view);
       },
-      note: ring.note,
-      alert: ring.alert,
+      note: ring.info,
+      alert: ring.error,
       transfers,
     });
     const running = core;
@@ -237,8 +237,8 @@
     gauge('members', 'nodes on the roll', () => roll.all().length);
     gauge('servers', 'servers on the list held', () => store.state().platform.servers.length);
     gauge('list_serial', 'serial of the list held', () => store.state().platform.serial);
-    gauge('links_dropped', 'links closed for what they sent', doorway.refused);
-    gauge('frames_unknown', 'frames dropped since their kind is not known here', Frame.unknown);
+    gauge('links_dropped', 'links closed for what they sent', doorway.refusedCount);
+    gauge('frames_unknown', 'frames dropped since their kind is not known here', Frame.unknownCount);
     const { counts } = transfers;
     gauge(
       'cores_behind',
@@ -271,7 +271,7 @@
     const office = Office.of({ leading: running.leading, proposer });
     const directory: ReadDirectory.Needs = {
       roll,
-      knows: () => Moment.since(began) > knowsAfter,
+      knows: () => Instant.since(began) > knowsAfter,
       regionOf: (zone) => feed.view().manifest?.document.zones[zone]?.region,
     };
     const controlHttp = ControlHttp.of({
@@ -287,7 +287,7 @@
       ownHttp: () => http,
       isReached: (one) => peers.at(one.wire)?.downFor() === 0,
       operations: ops.app,
-      note: ring.note,
+      note: ring.info,
     });
     const { server } = controlHttp;
     http = Address.text(await Listen(server, Address.checked(startup.http)));
@@ -300,13 +300,13 @@
         isHeld: () => (running.confirmedFor() ?? Number.POSITIVE_INFINITY) < confirmedWithin,
         held: () => store.state().platform.servers,
         renew: async (servers) => (await RenewList.run(office, { servers })).status === 200,
-        note: ring.note,
+        note: ring.info,
       });
     const lookout =
       adapter.list &&
       LookoutDuty.run({
         source: adapter.list,
-        hasPrimary: () => Moment.since(began) < unheardAfter || age() < unheardAfter,
+        hasPrimary: () => Instant.since(began) < unheardAfter || age() < unheardAfter,
         turn() {
           const cores = running.term()?.cores ?? [];
           const index = cores.findIndex((one) => one.disk === register.disk);
@@ -314,7 +314,7 @@
         },
         held: () => (feed.view().manifest ? feed.view() : store.state()).platform.servers,
         tell: (instances) => children.broadcast({ kind: 'leaving', instances }),
-        note: ring.note,
+        note: ring.info,
       });
     const reports =
       adapter.reports &&
@@ -331,7 +331,7 @@
     return {
       ready: { wire, http },
       drain: () =>
-        Ending.run(ring.note, [
+        Ending.run(ring.info, [
           { what: 'leaving the cores', within: leaveWithin, end: running.leave },
           {
             what: 'timers and duties',
--- a/src/replica/acknowledgement.ts
+++ b/src/replica/acknowledgement.ts
@@ -3,8 +3,8 @@
  * synced, or by replicating a state that an earlier change left on the primary's own disk without an acknowledgement.
  * Both run in the primary's queue, one at a time.
  */
-import { Failure } from '../kinds/failure.js';
-import { Timer } from '../kinds/timer.js';
+import { Failure } from '../common/failure.js';
+import { Timer } from '../common/timer.js';
 import { State } from '../store/state.js';
 import type { Store } from '../store/store.js';
 import type { ChangeLog } from './change-log.js';
--- a/src/replica/backup.ts
+++ b/src/replica/backup.ts
@@ -4,11 +4,12 @@
  * superseded in the meantime. A full state older than the one held was delayed in transit and is rejected, because the
  * primary may rely on what came after it. Only synced states are reported as held.
  */
+
+import { Epoch } from '../common/epoch.js';
+import { Failure } from '../common/failure.js';
+import { Mutex } from '../common/mutex.js';
+import { Stamp } from '../common/stamp.js';
 import type { Register } from '../epoch/register.js';
-import { Epoch } from '../kinds/epoch.js';
-import { Failure } from '../kinds/failure.js';
-import { Stamp } from '../kinds/stamp.js';
-import { Turns } from '../kinds/turns.js';
 import type { State } from '../store/state.js';
 import { Store } from '../store/store.js';
 import type { Frame } from '../wire/frame.js';
@@ -61,11 +62,11 @@
 
 /** Serializes writes to the store and tracks whether one is in progress. */
 const createWriter = (store: Store) => {
-  const turns = Turns.of();
+  const turns = Mutex.of();
   let activeWrites = 0;
   return {
     isWriting: () => activeWrites > 0,
-    runExclusive: turns.take,
+    runExclusive: turns.runExclusive,
     /** Resolves with the reason if the change could not be synced, else with undefined. */
     async write(change: State.Change, previous?: Stamp): Promise<string | undefined> {
       activeWrites += 1;
--- a/src/replica/catch-up.ts
+++ b/src/replica/catch-up.ts
@@ -3,9 +3,9 @@
  * blocking commits. A returning member is brought to the newest state, and a member recruited in place of a lost
  * backup has little left to copy. Only acknowledged states are sent.
  */
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import type { State } from '../store/state.js';
 import type { Frame } from '../wire/frame.js';
 import type { Followers } from './followers.js';
@@ -32,12 +32,12 @@
   }): CatchUp {
     const { leadership, followers } = options;
     const inProgress = new Set<string>();
-    const failures = new Map<string, { readonly at: Moment; readonly why: string }>();
+    const failures = new Map<string, { readonly at: Instant; readonly why: string }>();
     const others = () => leadership.term().cores.filter(({ disk }) => disk !== leadership.disk);
     const needsCatchUp = (core: Frame.Core, state: State) =>
       followers.downFor(core) === 0 &&
       !inProgress.has(core.disk) &&
-      Moment.since(failures.get(core.disk)?.at ?? Moment.past) > retryDelayMs &&
+      Instant.since(failures.get(core.disk)?.at ?? Instant.past) > retryDelayMs &&
       followers.supportsTransfers(core) &&
       !followers.hasConfirmed(core, state.stamp);
     const catchUp = async (core: Frame.Core, state: State) => {
@@ -49,7 +49,7 @@
         const why = Failure.text(error);
         if (failures.get(core.disk)?.why !== why && leadership.isLeading())
           options.note('member catch-up failed', { node: core.node, why });
-        failures.set(core.disk, { at: Moment.now(), why });
+        failures.set(core.disk, { at: Instant.now(), why });
       } finally {
         inProgress.delete(core.disk);
       }
--- a/src/replica/change-log.ts
+++ b/src/replica/change-log.ts
@@ -3,7 +3,7 @@
  * member that lags a little is sent these instead of a full state. The log is bounded; a member further behind gets a
  * snapshot.
  */
-import { Stamp } from '../kinds/stamp.js';
+import { Stamp } from '../common/stamp.js';
 import type { State } from '../store/state.js';
 import { Store } from '../store/store.js';
 
--- a/src/replica/confirmation.ts
+++ b/src/replica/confirmation.ts
@@ -2,9 +2,10 @@
  * Confirms that a majority of the cores still accepts the primary's term: periodically, and before every answer. The
  * age of a confirmation counts from the time at which it was requested.
  */
+
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import type { Proposer } from '../epoch/proposer.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
 import type { Leadership } from './leadership.js';
 
 /** Confirmation of the term by a majority. */
@@ -12,7 +13,7 @@
   /** Asks the cores whether a majority confirms the term now. */
   readonly confirm: () => Promise<boolean>;
   /** When the newest successful confirmation was requested. */
-  readonly confirmedAt: () => Moment;
+  readonly confirmedAt: () => Instant;
 };
 
 const confirmIntervalMs = 200;
@@ -21,9 +22,9 @@
 export const Confirmation = {
   /** Requests a confirmation at once and then every 200 ms until the leadership ends. */
   start(leadership: Leadership, proposer: Proposer): Confirmation {
-    let confirmedAt = Moment.past;
+    let confirmedAt = Instant.past;
     const confirm = async (): Promise<boolean> => {
-      const requestedAt = Moment.now();
+      const requestedAt = Instant.now();
       const isConfirmed = await proposer.confirm(leadership.term());
       if (isConfirmed && leadership.isLeading() && requestedAt > confirmedAt) confirmedAt = requestedAt;
       return isConfirmed;
--- a/src/replica/follower.ts
+++ b/src/replica/follower.ts
@@ -4,11 +4,11 @@
  * Each exchange has its own short timeout and is judged by the progress that the member reports. A transfer resumes
  * where it stopped, also over a new link. A confirmation counts under the epoch of its request.
  */
-import { Epoch } from '../kinds/epoch.js';
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
-import { Stamp } from '../kinds/stamp.js';
-import { Timer } from '../kinds/timer.js';
+import { Epoch } from '../common/epoch.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
+import { Stamp } from '../common/stamp.js';
+import { Timer } from '../common/timer.js';
 import type { State } from '../store/state.js';
 import type { Frame } from '../wire/frame.js';
 import { Protocol } from '../wire/protocol.js';
@@ -108,7 +108,7 @@
 const createExchanges = ({ core, leadership, client, source }: Follower.Options, member: MemberView) => {
   let payload: Payload | undefined;
   let offset = 0;
-  let writingSince: Moment | undefined;
+  let writingSince: Instant | undefined;
   const epoch = () => leadership.term().epoch;
   const abort = (why: string): never => {
     payload = undefined;
@@ -132,11 +132,11 @@
       writingSince = undefined;
       return;
     }
-    writingSince ??= Moment.now();
-    if (Moment.since(writingSince) > diskHungAfterMs)
+    writingSince ??= Instant.now();
+    if (Instant.since(writingSince) > diskHungAfterMs)
       throw Failure.of('store', `the disk of ${core().node} does not complete its write`);
     member.invalidate();
-    await Timer.pause(writePollIntervalMs);
+    await Timer.sleep(writePollIntervalMs);
   };
   const sendPiece = async (held: Stamp, current: Payload) => {
     const requestEpoch = epoch();
--- a/src/replica/followers.ts
+++ b/src/replica/followers.ts
@@ -1,9 +1,9 @@
 /** Replication to the other members: one follower for each disk, created on first use. */
-import type { Epoch } from '../kinds/epoch.js';
-import { Stamp } from '../kinds/stamp.js';
+import type { Epoch } from '../common/epoch.js';
+import { Stamp } from '../common/stamp.js';
 import type { State } from '../store/state.js';
-import type { Courier } from '../wire/courier.js';
 import type { Frame } from '../wire/frame.js';
+import type { PeerClient } from '../wire/peer-client.js';
 import { Protocol } from '../wire/protocol.js';
 import { Follower } from './follower.js';
 import type { Leadership } from './leadership.js';
@@ -32,7 +32,7 @@
   /** Followers of a new leadership, none of them created yet. */
   of(options: {
     readonly leadership: Leadership;
-    readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
     readonly source: TransferSource;
     /** The state held when the leadership began; in-sync backups are assumed to hold it until they report one. */
     readonly initialStamp: Stamp;
--- a/src/replica/leadership-transfer.ts
+++ b/src/replica/leadership-transfer.ts
@@ -2,11 +2,12 @@
  * Leadership transfer. A primary whose own disk fails or stalls asks its backups to take over and is deposed at once. A
  * primary that is shutting down asks one backup after the other and keeps leading until one has taken over.
  */
+
+import { Failure } from '../common/failure.js';
+import { Timer } from '../common/timer.js';
 import { Term } from '../epoch/term.js';
-import { Failure } from '../kinds/failure.js';
-import { Timer } from '../kinds/timer.js';
-import type { Courier } from '../wire/courier.js';
 import type { Frame } from '../wire/frame.js';
+import type { PeerClient } from '../wire/peer-client.js';
 import type { Leadership } from './leadership.js';
 
 /** Steps down because of a local disk failure; always throws `unconfirmed`. */
@@ -21,7 +22,7 @@
   /** Asks the backups in order to take over; resolves with the reason if none did, else with an empty string. */
   async request(options: {
     readonly leadership: Leadership;
-    readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
   }): Promise<string> {
     const { leadership } = options;
     const { epoch } = leadership.term();
@@ -31,7 +32,7 @@
       if (!core || !courier?.reaches(core) || courier.downFor() > 0) continue;
       const reply = await courier.ask({ kind: 'yield', epoch }, requestTimeoutMs).catch(() => undefined);
       if (reply?.kind !== 'done' || !reply.isDone) continue;
-      await Promise.race([leadership.deposed, Timer.pause(takeOverTimeoutMs)]);
+      await Promise.race([leadership.deposed, Timer.sleep(takeOverTimeoutMs)]);
       if (!leadership.isLeading()) return '';
     }
     return 'no backup took over';
@@ -39,7 +40,7 @@
   /** The handler of a local disk failure, which asks all backups to take over. */
   of(options: {
     readonly leadership: Leadership;
-    readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   }): LeadershipTransfer {
     const { leadership } = options;
--- a/src/replica/leadership.ts
+++ b/src/replica/leadership.ts
@@ -2,11 +2,12 @@
  * The state of one core's leadership: its term and the ballot that chose it, whether the outcome of its last register
  * change is known, the highest epoch that a backup reported as promised, and whether it has been deposed.
  */
+
+import { Epoch } from '../common/epoch.js';
+import { Failure } from '../common/failure.js';
+import { StateMachine } from '../common/state-machine.js';
 import type { Ballot } from '../epoch/ballot.js';
 import type { Term } from '../epoch/term.js';
-import { Epoch } from '../kinds/epoch.js';
-import { Failure } from '../kinds/failure.js';
-import { Phase } from '../kinds/phase.js';
 
 /** What a primary knows of its own leadership, and the operations that change it. */
 export type Leadership = {
@@ -44,7 +45,7 @@
 export const Leadership = {
   /** A leadership that starts under a term which the register has just chosen. */
   of(disk: string, chosen: Term, chosenBy: Ballot): Leadership {
-    const phase = Phase.of('leading', { leading: ['deposed'], deposed: [] });
+    const phase = StateMachine.of('leading', { leading: ['deposed'], deposed: [] });
     let term = chosen;
     let ballot = chosenBy;
     let isOutcomeUnknown = false;
@@ -79,7 +80,7 @@
       },
       depose(why) {
         if (phase.is('deposed')) return;
-        phase.become('deposed');
+        phase.transitionTo('deposed');
         resolveDeposed(why);
       },
       deposed,
--- a/src/replica/maintenance.ts
+++ b/src/replica/maintenance.ts
@@ -2,7 +2,7 @@
  * Maintenance of the in-sync set between commits: replaces a backup that is down as soon as another core can take its
  * place, and steps down if the primary's own store is broken.
  */
-import type { Turns } from '../kinds/turns.js';
+import type { Mutex } from '../common/mutex.js';
 import type { Store } from '../store/store.js';
 import type { Frame } from '../wire/frame.js';
 import type { Acknowledgement } from './acknowledgement.js';
@@ -14,7 +14,7 @@
 /** Work between commits, run in the same queue as commits. */
 export type Maintenance = {
   /** Runs one check; does not change the in-sync set until the leadership has acknowledged its first change. */
-  readonly run: (turns: Turns, isOpen: boolean) => Promise<void>;
+  readonly run: (turns: Mutex, isOpen: boolean) => Promise<void>;
   /** Tries once to replicate the acknowledged state to enough other cores to fill the in-sync set. */
   readonly replaceBackups: () => Promise<void>;
 };
@@ -43,9 +43,9 @@
       async run(turns, isOpen) {
         if (!leadership.isLeading()) return;
         if (!store.isSound())
-          await turns.take(() => stepDown(new Error('the store is broken'))).catch(() => {});
+          await turns.runExclusive(() => stepDown(new Error('the store is broken'))).catch(() => {});
         if (!isOpen || !needsReplacement() || !others().some(isAvailableSpare)) return;
-        await turns.take(async () => {
+        await turns.runExclusive(async () => {
           await acknowledgement.acknowledgePending();
           if (needsReplacement()) await replication.tryReplicate(acknowledgement.state());
         });
--- a/src/replica/member-client.ts
+++ b/src/replica/member-client.ts
@@ -2,11 +2,11 @@
  * The primary's requests to one member over its courier. The timeout of each is a fixed time plus the time that its
  * bytes take over the slowest supported link.
  */
-import type { Epoch } from '../kinds/epoch.js';
-import { Failure } from '../kinds/failure.js';
-import { Stamp } from '../kinds/stamp.js';
-import type { Courier } from '../wire/courier.js';
+import type { Epoch } from '../common/epoch.js';
+import { Failure } from '../common/failure.js';
+import { Stamp } from '../common/stamp.js';
 import type { Frame } from '../wire/frame.js';
+import type { PeerClient } from '../wire/peer-client.js';
 import { Protocol } from '../wire/protocol.js';
 import type { Payload } from './payload.js';
 import { TransferAssembly } from './transfer-assembly.js';
@@ -48,17 +48,17 @@
   /** The client for one member, whose courier is looked up for each request. */
   of(options: {
     readonly core: () => Frame.Core;
-    readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
     readonly meter: TransferMeter | undefined;
   }): MemberClient {
-    const courier = (): Courier => {
+    const courier = (): PeerClient => {
       const core = options.core();
       const found = options.courierTo(core);
       if (!found?.reaches(core)) throw Failure.of('link', `no link to the disk of ${core.node}`);
       return found;
     };
     const unexpected = (kind: string) => Failure.of('frame', `unexpected reply of kind ${kind}`);
-    const ask = (request: Parameters<Courier['ask']>[0], byteLength: number): Promise<Frame.Reply> =>
+    const ask = (request: Parameters<PeerClient['ask']>[0], byteLength: number): Promise<Frame.Reply> =>
       courier().ask(request, replyTimeoutMs + byteLength / minBytesPerMs);
     const position = async (...args: Parameters<typeof ask>): Promise<MemberClient.Position> => {
       const reply = await ask(...args);
--- a/src/replica/membership-change.ts
+++ b/src/replica/membership-change.ts
@@ -5,8 +5,9 @@
  * in-sync set, then a waiting core takes its slot, in one change that majorities before and after it accept. If no
  * core is waiting, the slot stays reserved, because most cores that shut down are restarted at once.
  */
+
+import { Instant } from '../common/instant.js';
 import { Term } from '../epoch/term.js';
-import { Moment } from '../kinds/moment.js';
 import type { Frame } from '../wire/frame.js';
 import type { Followers } from './followers.js';
 import type { Leadership } from './leadership.js';
@@ -54,11 +55,12 @@
         .cores.filter((core) => core.disk !== leadership.disk && unreachableFor(core) > replaceAfterMs)
         .sort((a, b) => (unreachableFor(a) < unreachableFor(b) ? 1 : -1))[0];
     };
-    const waiting = new Map<string, { readonly core: Frame.Core; readonly since: Moment }>();
+    const waiting = new Map<string, { readonly core: Frame.Core; readonly since: Instant }>();
     /** Cores that asked to join recently and have no slot yet. */
     const waitingCores = (): readonly Frame.Core[] => {
       for (const [disk, { since }] of waiting)
-        if (Moment.since(since) > joinRequestTtlMs || Term.has(leadership.term(), disk)) waiting.delete(disk);
+        if (Instant.since(since) > joinRequestTtlMs || Term.has(leadership.term(), disk))
+          waiting.delete(disk);
       return [...waiting.values()].map(({ core }) => core);
     };
     const reachableWaitingCore = () => waitingCores().find((core) => followers.downFor(core) === 0);
@@ -81,7 +83,7 @@
         if (Term.has(leadership.term(), joining.disk)) return '';
         const isFull = cores.length > 2 * options.losses;
         const old = isFull ? findReplaceable(joining) : undefined;
-        waiting.set(joining.disk, { core: joining, since: Moment.now() });
+        waiting.set(joining.disk, { core: joining, since: Instant.now() });
         if (isFull && !old) return 'all cores are alive';
         if (old && isInSync(old)) {
           await options.replaceBackups();
@@ -97,7 +99,7 @@
           await options.swapOut(leaving.disk);
           if (isInSync(leaving)) return 'no other core could take the state';
         }
-        if (successor) waiting.set(successor.disk, { core: successor, since: Moment.now() });
+        if (successor) waiting.set(successor.disk, { core: successor, since: Instant.now() });
         const next = reachableWaitingCore();
         if (next) return assignSlot(leaving, next);
         return waitingCores().length > 0 ? 'the newcomer that waits is not in touch yet' : '';
--- a/src/replica/payload.ts
+++ b/src/replica/payload.ts
@@ -2,8 +2,8 @@
  * The content of a transfer: a snapshot, which is one record of a full state, or a tail, which is the records of the
  * changes since a state that the receiver holds. The digest identifies the payload.
  */
-import { Failure } from '../kinds/failure.js';
-import { Stamp } from '../kinds/stamp.js';
+import { Failure } from '../common/failure.js';
+import { Stamp } from '../common/stamp.js';
 import { State } from '../store/state.js';
 import { Store } from '../store/store.js';
 import { TransferAssembly } from './transfer-assembly.js';
--- a/src/replica/primary.ts
+++ b/src/replica/primary.ts
@@ -3,18 +3,19 @@
  * other core in sync, which is always on at least one disk more than may be lost at the same time. This module
  * combines the parts of that work and serializes those that must not overlap.
  */
+
+import type { Instant } from '../common/instant.js';
+import { Mutex } from '../common/mutex.js';
+import { Revision } from '../common/revision.js';
+import type { Stamp } from '../common/stamp.js';
 import { Ballot } from '../epoch/ballot.js';
 import type { Proposer } from '../epoch/proposer.js';
 import { Term } from '../epoch/term.js';
 import type { Vote } from '../epoch/vote.js';
-import type { Moment } from '../kinds/moment.js';
-import { Revision } from '../kinds/revision.js';
-import type { Stamp } from '../kinds/stamp.js';
-import { Turns } from '../kinds/turns.js';
 import type { State } from '../store/state.js';
 import type { Store } from '../store/store.js';
-import type { Courier } from '../wire/courier.js';
 import type { Frame } from '../wire/frame.js';
+import type { PeerClient } from '../wire/peer-client.js';
 import { Acknowledgement } from './acknowledgement.js';
 import { CatchUp } from './catch-up.js';
 import { ChangeLog } from './change-log.js';
@@ -39,7 +40,7 @@
   /** Whether the leadership has not been deposed. */
   readonly isLeading: () => boolean;
   /** When the newest confirmation of the term by a majority was requested. */
-  readonly confirmedAt: () => Moment;
+  readonly confirmedAt: () => Instant;
   /** Whether a majority confirms the term, and the leadership had acknowledged a change when they were asked. */
   readonly confirm: () => Promise<boolean>;
   /** Commits a change under a new stamp and resolves with the acknowledged state; `make` may return none. */
@@ -85,7 +86,7 @@
     readonly losses: number;
     readonly store: Store;
     readonly proposer: Proposer;
-    readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
     /** Called with each state when it is acknowledged. */
     readonly publish: (state: State, term: Term) => void;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
@@ -150,7 +151,7 @@
   of(options: Primary.Options): Primary {
     const { leadership, termChange, followers, acknowledgement, maintenance, membership } =
       createComponents(options);
-    const turns = Turns.of();
+    const turns = Mutex.of();
     /** Whether this leadership has acknowledged a change, so that its state may be read. */
     let isOpen = false;
     const confirmation = Confirmation.start(leadership, options.proposer);
@@ -173,7 +174,7 @@
       if (isRewritePending) return;
       isRewritePending = true;
       void turns
-        .take(async () => void (leadership.isLeading() && (await termChange.change(() => undefined))))
+        .runExclusive(async () => void (leadership.isLeading() && (await termChange.change(() => undefined))))
         .catch(() => undefined)
         .finally(() => {
           isRewritePending = false;
@@ -210,14 +211,14 @@
         const wasOpen = isOpen;
         return (await confirmation.confirm()) && wasOpen;
       },
-      commit: (make) => turns.take(() => commit(make)),
-      raiseEpoch: (above) => turns.take(() => raiseEpoch(above)),
+      commit: (make) => turns.runExclusive(() => commit(make)),
+      raiseEpoch: (above) => turns.runExclusive(() => raiseEpoch(above)),
       maintain: () => maintenance.run(turns, isOpen),
       announce,
-      join: (core) => turns.take(() => membership.join(core)),
-      leave: (core, successor) => turns.take(() => membership.leave(core, successor)),
+      join: (core) => turns.runExclusive(() => membership.join(core)),
+      leave: (core, successor) => turns.runExclusive(() => membership.leave(core, successor)),
       joiningCore: membership.joiningCore,
-      transferLeadership: () => turns.take(transferLeadership),
+      transferLeadership: () => turns.runExclusive(transferLeadership),
       members: () =>
         leadership
           .term()
--- a/src/replica/replication-round.ts
+++ b/src/replica/replication-round.ts
@@ -1,8 +1,8 @@
 /** One state being replicated to the other cores: which were sent it, which hold it, and which failed and when. */
-import type { Epoch } from '../kinds/epoch.js';
-import { Failure } from '../kinds/failure.js';
-import { Moment } from '../kinds/moment.js';
-import { Signal } from '../kinds/signal.js';
+import type { Epoch } from '../common/epoch.js';
+import { Failure } from '../common/failure.js';
+import { Instant } from '../common/instant.js';
+import { Latch } from '../common/latch.js';
 import type { State } from '../store/state.js';
 import type { Frame } from '../wire/frame.js';
 import type { Followers } from './followers.js';
@@ -43,13 +43,13 @@
     const { followers, state } = options;
     const confirmed = new Map<string, Epoch>();
     const asked = new Set<string>();
-    const failedAt = new Map<string, Moment>();
-    let ended = Signal.of();
+    const failedAt = new Map<string, Instant>();
+    let ended = Latch.of();
     const send: ReplicationRound['send'] = (core) => {
       if (asked.has(core.disk)) return;
       asked.add(core.disk);
       const fail = (error: unknown) => {
-        failedAt.set(core.disk, Moment.now());
+        failedAt.set(core.disk, Instant.now());
         options.note('backup did not confirm', { node: core.node, why: Failure.text(error) });
       };
       void followers
@@ -57,7 +57,7 @@
         .then((epoch) => void confirmed.set(core.disk, epoch), fail)
         .finally(() => {
           asked.delete(core.disk);
-          ended.ring();
+          ended.release();
         });
     };
     const needsState = (core: Frame.Core, epoch: Epoch) =>
@@ -65,7 +65,7 @@
       core.disk !== options.leaving &&
       confirmed.get(core.disk) !== epoch &&
       followers.downFor(core) === 0 &&
-      Moment.since(failedAt.get(core.disk) ?? Moment.past) > retryDelayMs;
+      Instant.since(failedAt.get(core.disk) ?? Instant.past) > retryDelayMs;
     return {
       leaving: options.leaving,
       holders: (epoch) => new Set([...confirmed].flatMap(([disk, under]) => (under === epoch ? [disk] : []))),
@@ -77,8 +77,8 @@
         for (const core of cores) if (needsState(core, epoch)) send(core);
       },
       waitForReply(timeoutMs) {
-        ended = Signal.of();
-        return ended.within(timeoutMs);
+        ended = Latch.of();
+        return ended.wait(timeoutMs);
       },
     };
   },
--- a/src/replica/replication.ts
+++ b/src/replica/replication.ts
@@ -5,9 +5,9 @@
  * names it in sync in place of the unresponsive one. If a backup has promised a higher epoch, it accepts nothing more
  * under the current one, and the primary continues under an epoch above the promised one.
  */
-import type { Epoch } from '../kinds/epoch.js';
-import { Moment } from '../kinds/moment.js';
-import { Timer } from '../kinds/timer.js';
+import type { Epoch } from '../common/epoch.js';
+import { Instant } from '../common/instant.js';
+import { Timer } from '../common/timer.js';
 import type { State } from '../store/state.js';
 import type { Followers } from './followers.js';
 import { InSyncSet } from './in-sync-set.js';
@@ -67,10 +67,10 @@
       round.clearFailures();
       for (const core of coresOf(round)) round.send(core);
       const shouldWait = isInSyncSetComplete() && !leadership.isOutcomeUnknown() && !hasLeavingBackup(round);
-      const deadline = Moment.after(shouldWait ? backupTimeoutMs : 0);
-      const mayWait = () => leadership.isLeading() && !round.hasFailures() && !Moment.isPast(deadline);
+      const deadline = Instant.after(shouldWait ? backupTimeoutMs : 0);
+      const mayWait = () => leadership.isLeading() && !round.hasFailures() && !Instant.isPast(deadline);
       while (mayWait() && !isHeld(round)) {
-        await round.waitForReply(Moment.left(deadline));
+        await round.waitForReply(Instant.remaining(deadline));
         round.sendMissing(coresOf(round), leadership.term().epoch);
       }
     };
@@ -99,7 +99,7 @@
         round.sendMissing(leadership.term().cores, epoch);
         const result = await changeTerm(round);
         if (givesUp && (result === 'failed' || (result === 'wait' && round.isIdle()))) return false;
-        if (result === 'failed') await Promise.all([termChange.announce(), Timer.pause(retryDelayMs)]);
+        if (result === 'failed') await Promise.all([termChange.announce(), Timer.sleep(retryDelayMs)]);
         if (result === 'wait') await round.waitForReply(retryDelayMs);
       }
       return leadership.isLeading();
--- a/src/replica/term-change.ts
+++ b/src/replica/term-change.ts
@@ -3,9 +3,10 @@
  * change that finds another primary's term deposes this one, and a change with an unknown outcome leaves the
  * leadership uncertain until a later change settles it.
  */
+
+import { Epoch } from '../common/epoch.js';
 import type { Proposer } from '../epoch/proposer.js';
 import { Term } from '../epoch/term.js';
-import { Epoch } from '../kinds/epoch.js';
 import type { Leadership } from './leadership.js';
 
 /** Register changes of the primary. */
--- a/src/replica/transfer-assembly.ts
+++ b/src/replica/transfer-assembly.ts
@@ -4,7 +4,7 @@
  * resumes at the offset it had reached.
  */
 import { createHash, type Hash } from 'node:crypto';
-import { Stamp } from '../kinds/stamp.js';
+import { Stamp } from '../common/stamp.js';
 import { Frame } from '../wire/frame.js';
 
 /** Holds at most one transfer in progress: the newest one offered. */
@@ -59,7 +59,7 @@
       (transfer.epoch === than.epoch && !Stamp.isNewer(than.target, transfer.target));
     return {
       begin(transfer) {
-        if (transfer.length > Frame.longest) return false;
+        if (transfer.length > Frame.maxBytes) return false;
         if (current?.transfer.digest === transfer.digest) return true;
         if (current && !isNewer(transfer, current.transfer)) return false;
         start(transfer);
--- a/test/catch-up.test.ts
+++ b/test/catch-up.test.ts
@@ -5,8 +5,8 @@
  */
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
-import { Stamp } from '../src/kinds/stamp.js';
-import { Timer } from '../src/kinds/timer.js';
+import { Stamp } from '../src/common/stamp.js';
+import { Timer } from '../src/common/timer.js';
 import { Payload } from '../src/replica/payload.js';
 import type { Primary } from '../src/replica/primary.js';
 import { ReplicaKit } from './replica-kit.js';
@@ -116,7 +116,7 @@
   it('brings a member with a slow disk to the newest while changes go on', async (test) => {
     kit = await ReplicaKit.start(3);
     const third = kit.machines[2]!;
-    third.beforeWrite = () => Timer.pause(1500);
+    third.beforeWrite = () => Timer.sleep(1500);
     const primary = await kit.lead([0, 1, 2]);
     third.relay.cut();
     await putMany(primary, 10);
--- a/test/replica-kit.ts
+++ b/test/replica-kit.ts
@@ -7,14 +7,14 @@
 import { createServer, connect as dial, type Server, type Socket } from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
+import { Epoch } from '../src/common/epoch.js';
+import { Listen } from '../src/common/listen.js';
+import { Mutex } from '../src/common/mutex.js';
+import { Stamp } from '../src/common/stamp.js';
 import { Desk } from '../src/control/desk.js';
 import { Proposer } from '../src/epoch/proposer.js';
 import { Register } from '../src/epoch/register.js';
 import type { Term } from '../src/epoch/term.js';
-import { Epoch } from '../src/kinds/epoch.js';
-import { Listen } from '../src/kinds/listen.js';
-import { Stamp } from '../src/kinds/stamp.js';
-import { Turns } from '../src/kinds/turns.js';
 import type { Document } from '../src/manifest/document.js';
 import { Backup } from '../src/replica/backup.js';
 import { Primary } from '../src/replica/primary.js';
@@ -22,9 +22,9 @@
 import { File } from '../src/store/file.js';
 import { State } from '../src/store/state.js';
 import type { Store } from '../src/store/store.js';
-import { Courier } from '../src/wire/courier.js';
 import type { Frame } from '../src/wire/frame.js';
 import { Link } from '../src/wire/link.js';
+import { PeerClient } from '../src/wire/peer-client.js';
 import { Bench } from './bench.js';
 
 /** A set of cores, the first of which may lead. */
@@ -60,7 +60,7 @@
     proposer: Proposer;
     readonly meter: TransferMeter;
     readonly self: () => Frame.Core;
-    readonly courierTo: (core: Frame.Core) => Courier | undefined;
+    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
     /** Runs before each write to the store. */
     beforeWrite: () => Promise<void>;
     /** Runs before the machine accepts a term or asks another one to accept it. */
@@ -148,17 +148,17 @@
 
 /** A store in memory, because a slow real disk on a busy machine would count as a failed one. */
 const createStore = (disk: { state: State }, beforeWrite: () => Promise<void>, file: File): Store => {
-  const turns = Turns.of();
+  const turns = Mutex.of();
   return {
     state: () => disk.state,
     isSound: () => true,
     isCompacting: () => false,
     compacted: async () => {},
-    idle: () => turns.take(async () => {}),
+    idle: () => turns.runExclusive(async () => {}),
     mend: async () => {},
     close: () => file.close(),
     take: (change, previous) =>
-      turns.take(async () => {
+      turns.runExclusive(async () => {
         await beforeWrite();
         if (previous && !Stamp.isSame(previous, disk.state.stamp)) throw new Error('another state is held');
         if (change.kind !== 'whole' && !Stamp.isNewer(change.stamp, disk.state.stamp))
@@ -171,7 +171,7 @@
 const startMachine = async (
   folder: string,
   node: string,
-  couriers: Map<string, Courier>,
+  couriers: Map<string, PeerClient>,
 ): Promise<{ machine: ReplicaKit.Machine; stop: () => Promise<void> }> => {
   let data = join(folder, node);
   let restarts = 0;
@@ -228,7 +228,7 @@
       note: () => {},
     });
     server = createServer((socket) => {
-      const link = Link.over(socket, terms);
+      const link = Link.fromSocket(socket, terms);
       links.push(link);
       link.send({ kind: 'ping', age: 0 });
       async function* requests() {
@@ -307,7 +307,7 @@
   async start(count: number): Promise<ReplicaKit> {
     const folder = mkdtempSync(join(tmpdir(), 'bramblebend-replica-'));
     const machines: ReplicaKit.Machine[] = [];
-    const couriers = new Map<string, Courier>();
+    const couriers = new Map<string, PeerClient>();
     const stops: (() => Promise<void>)[] = [];
     for (let index = 0; index < count; index += 1) {
       const started = await startMachine(folder, `core-${index + 1}`, couriers);
@@ -319,7 +319,7 @@
     for (const { relay } of others)
       couriers.set(
         relay.place,
-        Courier.run({ place: relay.place, stamp: () => Stamp.none, age: () => 0, hello: () => hello }),
+        PeerClient.start({ address: relay.place, stamp: () => Stamp.none, age: () => 0, hello: () => hello }),
       );
     const running: Primary[] = [];
     const allUp = async () => {
