--- a/src/proxy/dialect.ts
+++ b/src/proxy/dialect.ts
@@ -4,7 +4,7 @@
 import type { IncomingHttpHeaders } from 'node:http';
 import { Ident } from '../kinds/ident.js';
 import type { Compiled } from '../manifest/compiled.js';
-import type { Tie } from '../upstream/tie.js';
+import type { Correlation } from '../upstream/correlation.js';
 
 export type Dialect = {
   readonly read: (headers: IncomingHttpHeaders) => Dialect.Asked;
@@ -13,7 +13,7 @@
   readonly isNeeded: (name: string) => boolean;
   readonly up: (told: Dialect.Told) => Readonly<Record<string, string>>;
   /** What a server of the group sends back with its answer to the request, if anything. */
-  readonly tie: (asked: Dialect.Asked, group: Compiled.Group) => Tie | undefined;
+  readonly tie: (asked: Dialect.Asked, group: Compiled.Group) => Correlation | undefined;
   readonly down: (served: Dialect.Served) => Readonly<Record<string, string>>;
   readonly own: (answer: Dialect.Own) => {
     readonly status: number;
--- a/src/proxy/filters/attempt.ts
+++ b/src/proxy/filters/attempt.ts
@@ -9,8 +9,8 @@
 import type { Pick } from '../../upstream/pick.js';
 import type { Placement } from '../../upstream/placement.js';
 import { Suspicion } from '../../upstream/suspicion.js';
-import { Trial } from '../../upstream/trial.js';
 import { Tries } from '../../upstream/tries.js';
+import { UpstreamTry } from '../../upstream/upstream-try.js';
 import { Call } from '../call.js';
 import type { Filter } from '../filter.js';
 import { Hygiene } from '../hygiene.js';
@@ -94,13 +94,13 @@
       regions,
       key: key === undefined ? undefined : Wall.key(call.wall, key),
       want,
-      before: { tried: [...this.tried], sent },
+      previous: { tried: [...this.tried], sent },
       deadline,
       signal: call.left,
       budget: needs.budget,
-      pick: () => this.pickNeeds(),
+      pickNeeds: () => this.pickNeeds(),
       run: (pick, tier, hops) => this.run(pick, tier, hops, after),
-      note: (trial, isExtra) => this.note(trial, isExtra),
+      onTryEnd: (trial, isExtra) => this.note(trial, isExtra),
     });
   }
 
@@ -149,14 +149,19 @@
     );
   };
 
-  private async run(pick: Pick, tier: Pick.Tier, hops: number, after: string | undefined): Promise<Trial> {
+  private async run(
+    pick: Pick,
+    tier: Pick.Tier,
+    hops: number,
+    after: string | undefined,
+  ): Promise<UpstreamTry> {
     const { needs, call, rule, want } = this;
     const { instance } = pick.server;
     this.tried.push(instance);
     const placed = needs.placement.sent(pick.server, pick.group, want);
     const place = needs.warmup.enter(instance);
     let sentAt = Moment.now();
-    const trial = await Trial.run(pick, {
+    const trial = await UpstreamTry.run(pick, {
       ...this.trialNeeds(pick),
       request: (left) => buildRequest(call, { pick, step: tier.step, left, hops, after }),
       weight: rule.aim === undefined ? (call.body?.length ?? 0) : placed.uncached,
@@ -169,7 +174,7 @@
     return trial;
   }
 
-  private trialNeeds(pick: Pick): Omit<Trial.Needs, 'request' | 'weight' | 'onSend'> {
+  private trialNeeds(pick: Pick): Omit<UpstreamTry.Needs, 'request' | 'weight' | 'onSend'> {
     const { needs, call, rule } = this;
     const { instance } = pick.server;
     const onLost = (end: () => void) =>
@@ -183,21 +188,21 @@
       timeouts: Call.need(call, 'timeouts'),
       deadline: this.deadline,
       signal: call.left,
-      isStillOpen: this.isStillOpen,
-      tie: call.dialect.tie(call.asked, pick.group),
-      used: this.used,
+      isStillEligible: this.isStillOpen,
+      correlation: call.dialect.tie(call.asked, pick.group),
+      usedConnections: this.used,
       settle: needs.stall.settle,
-      ...(rule.isOnce ? {} : { onLost }),
-      onWait() {
+      ...(rule.isOnce ? {} : { onUnreachable: onLost }),
+      onSuspect() {
         needs.prover.suspect(pick.server);
         needs.failures.see(instance, Outcome.weights.silent);
       },
     };
   }
 
-  private note(trial: Trial, isExtra: boolean): void {
+  private note(trial: UpstreamTry, isExtra: boolean): void {
     const { needs, call } = this;
-    Outcome.tell(needs, trial);
+    Outcome.record(needs, trial);
     const outcome = 'why' in trial ? `${trial.kind}_${trial.why}` : `${trial.kind}_${trial.status}`;
     needs.meters.tries.inc({ group: trial.pick.group.name, outcome, extra: isExtra ? 'yes' : 'no' });
     if (trial.kind !== 'stream')
--- a/src/proxy/filters/commit.ts
+++ b/src/proxy/filters/commit.ts
@@ -2,8 +2,8 @@
 import { match } from 'ts-pattern';
 import { Moment } from '../../kinds/moment.js';
 import { Stamp } from '../../kinds/stamp.js';
-import type { Trial } from '../../upstream/trial.js';
 import type { Tries } from '../../upstream/tries.js';
+import type { UpstreamTry } from '../../upstream/upstream-try.js';
 import { Call } from '../call.js';
 import type { Filter } from '../filter.js';
 import { Hygiene } from '../hygiene.js';
@@ -17,19 +17,19 @@
 type Answered = Extract<Tries, { kind: 'response' }>;
 type Streamed = Extract<Tries, { kind: 'stream' }>;
 
-const why: Partial<Record<Tries.Why, string>> = {
+const why: Partial<Record<Tries.Reason, string>> = {
   no_server: 'no server may run this request just now',
   budget: 'the share of extra tries is used up',
   refused: 'the servers tried refused it',
   total: 'the request ran out of time',
 };
 
-const publicCodes: Partial<Record<Tries.Why, string>> = { refused: 'dropped' };
+const publicCodes: Partial<Record<Tries.Reason, string>> = { refused: 'dropped' };
 
 const count = (needs: Filter.Needs, call: Call, outcome: string): void =>
   needs.meters.requests.inc({ rule: Call.need(call, 'rule').name, outcome });
 
-const nameServer = (call: Call, { pick }: Trial, tries: number): Readonly<Record<string, string>> =>
+const nameServer = (call: Call, { pick }: UpstreamTry, tries: number): Readonly<Record<string, string>> =>
   call.dialect.down({
     id: call.id,
     group: pick.group.name,
--- a/src/proxy/program.ts
+++ b/src/proxy/program.ts
@@ -74,7 +74,7 @@
       },
     );
     const tending = Timer.every(500, () => {
-      budget.tend();
+      budget.maintain();
       quotas.tend();
       const failed = failures.untold();
       if (failed.length > 0) uplink.send({ kind: 'failures', failed });
--- a/src/proxy/stream-answer.ts
+++ b/src/proxy/stream-answer.ts
@@ -7,7 +7,7 @@
 import type { ServerResponse } from 'node:http';
 import { Moment } from '../kinds/moment.js';
 import { Suspicion } from '../upstream/suspicion.js';
-import type { Trial } from '../upstream/trial.js';
+import type { UpstreamTry } from '../upstream/upstream-try.js';
 import { Call } from './call.js';
 import { Chunks } from './chunks.js';
 import { Events } from './events.js';
@@ -19,7 +19,7 @@
 /** An answer that has begun. */
 export type StreamAnswer = { readonly pass: () => Promise<StreamPump> };
 
-type Streamed = Extract<Trial, { kind: 'stream' }>;
+type Streamed = Extract<UpstreamTry, { kind: 'stream' }>;
 type Headers = Readonly<Record<string, string>>;
 
 /** Servers stop by themselves when the time that they were told is over; this long after it they are cut. */
--- a/src/upstream/budget.ts
+++ b/src/upstream/budget.ts
@@ -14,12 +14,12 @@
 export type Budget = {
   readonly earn: () => void;
   readonly spend: () => boolean;
-  readonly want: () => void;
+  readonly requestTokens: () => void;
   /** Resolves once a token is held, and without one after the span; asks the pool meanwhile. */
-  readonly arrival: (span: number, signal: AbortSignal) => Promise<void>;
+  readonly waitForToken: (span: number, signal: AbortSignal) => Promise<void>;
   readonly held: () => number;
   readonly grant: (epoch: number, batches: readonly Purse.Batch[]) => void;
-  readonly tend: () => void;
+  readonly maintain: () => void;
 };
 
 export declare namespace Budget {
@@ -79,8 +79,8 @@
       held: () => purse.total() / whole,
       earn: () => purse.add([{ amount: earned, age: 0 }]),
       spend: () => purse.take(whole) !== undefined || spendAllowed(),
-      want,
-      async arrival(span, signal) {
+      requestTokens: want,
+      async waitForToken(span, signal) {
         const until = Moment.after(span);
         waiting += 1;
         while (!isHeld() && !Moment.isPast(until) && !signal.aborted) {
@@ -101,7 +101,7 @@
         purse.add(batches);
         for (const wake of [...wakes]) wake();
       },
-      tend() {
+      maintain() {
         know();
         const missing = reserve - purse.total();
         if (missing >= least) send([], missing);
--- a/src/upstream/connection.ts
+++ b/src/upstream/connection.ts
@@ -18,7 +18,7 @@
   /** Sends the request; without a tie between it and its answer the connection carries no other after it. */
   readonly run: (
     request: Exchange.Request,
-    terms: Pick<Exchange.Terms, 'maySend' | 'signal'> & { readonly isTied: boolean },
+    terms: Pick<Exchange.Options, 'maySend' | 'signal'> & { readonly isCorrelated: boolean },
   ) => Promise<Exchange>;
   /** Whether it may carry a request that nothing ties to its answer, or else any. */
   readonly mayCarry: (isTied: boolean) => boolean;
@@ -77,17 +77,17 @@
 };
 
 /** How long a connection may rest after an answer with these headers, in milliseconds. */
-const restOf = ({ 'keep-alive': told }: Exchange.Kept['headers']): number => {
+const restOf = ({ 'keep-alive': told }: Exchange.Completion['headers']): number => {
   const seconds = /timeout=\s*(\d+)/i.exec(String(told ?? ''))?.[1];
   return seconds === undefined ? longestRest : Math.min(longestRest, Number(seconds) * 1000 - restMargin);
 };
 
 const prove = async (
-  line: Exchange.Line,
+  line: Exchange.Transport,
   server: Compiled.Server,
   group: Compiled.Group,
   signal: AbortSignal,
-  onEnd: (kept: Exchange.Kept) => void,
+  onEnd: (kept: Exchange.Completion) => void,
 ) => {
   const response = await Exchange.run(
     line,
@@ -114,7 +114,7 @@
   readonly phase: Phase<State>;
   readonly watchers: (() => void)[] = [];
   private isWhole: (() => boolean) | undefined;
-  private kept: Exchange.Kept | undefined;
+  private kept: Exchange.Completion | undefined;
   private rest: Timer | undefined;
   private hasCarried = false;
   private mayCarryMore = true;
@@ -163,7 +163,7 @@
     this.isWhole = isWhole;
   };
 
-  readonly onEnd = (kept: Exchange.Kept): void => {
+  readonly onEnd = (kept: Exchange.Completion): void => {
     this.kept = kept;
   };
 
@@ -186,7 +186,7 @@
 export const Connection = {
   async open(server: Compiled.Server, group: Compiled.Group, signal: AbortSignal): Promise<Connection> {
     const socket = await openSocket(server, signal);
-    const line = Exchange.line(socket, Address.text(server.address), watchEnd(socket));
+    const line = Exchange.transport(socket, Address.text(server.address), watchEnd(socket));
     const use = new Use(socket);
     const { phase } = use;
     const gone = new Promise<void>((resolve) => {
@@ -220,7 +220,7 @@
       mayCarry: (isTied) => use.mayCarry(isTied),
       destroy,
       onClose: (see) => void use.watchers.push(see),
-      run(request, { isTied, maySend, signal: cut }) {
+      run(request, { isCorrelated: isTied, maySend, signal: cut }) {
         if (!phase.is('idle') || socket.destroyed)
           return Promise.resolve({
             kind: 'failure',
--- a/src/upstream/tie.ts
+++ b/src/upstream/correlation.ts
@@ -3,10 +3,10 @@
 // told by its value. Where there is none, each request gets a connection that has carried none before.
 import type { IncomingHttpHeaders } from 'node:http';
 
-export type Tie = { readonly header: string; readonly value: string };
+export type Correlation = { readonly header: string; readonly value: string };
 
-export const Tie = {
+export const Correlation = {
   /** Whether an answer with these headers is to the request of this tie. */
-  holds: (tie: Tie | undefined, headers: IncomingHttpHeaders): boolean =>
+  matches: (tie: Correlation | undefined, headers: IncomingHttpHeaders): boolean =>
     tie === undefined || headers[tie.header] === tie.value,
 };
--- a/src/upstream/exchange.ts
+++ b/src/upstream/exchange.ts
@@ -41,27 +41,27 @@
     readonly abort: (cause: Error) => void;
   };
   /** The connection as an exchange sees it. */
-  type Line = {
+  type Transport = {
     readonly socket: Socket;
     /** Host and port, for a request that names no host. */
     readonly authority: string;
     /** Whether the server has ended the connection in order, and has not reset it. */
-    readonly isOrderly: () => boolean;
+    readonly hasEndedCleanly: () => boolean;
     readonly agent: Agent;
   };
   /** What the end of an answer says about its connection. */
-  type Kept = {
+  type Completion = {
     /** Whether another exchange may follow. */
     readonly isReusable: boolean;
     readonly headers: IncomingHttpHeaders;
   };
-  type Terms = {
+  type Options = {
     readonly maySend: () => boolean;
     readonly signal: AbortSignal;
     /** Called once the answer has begun, with a question that tells whether all of it has arrived. */
     readonly onHead?: (isWhole: () => boolean) => void;
     /** Called when the whole answer has been read. */
-    readonly onEnd?: (kept: Kept) => void;
+    readonly onEnd?: (kept: Completion) => void;
   };
 }
 
@@ -100,7 +100,7 @@
   }
 }
 
-const open = ({ agent, authority }: Exchange.Line, asked: Exchange.Request): ClientRequest =>
+const open = ({ agent, authority }: Exchange.Transport, asked: Exchange.Request): ClientRequest =>
   request({
     method: asked.method,
     path: asked.path,
@@ -173,9 +173,9 @@
   private sent: ClientRequest | undefined;
 
   constructor(
-    private readonly line: Exchange.Line,
+    private readonly line: Exchange.Transport,
     private readonly asked: Exchange.Request,
-    private readonly terms: Exchange.Terms,
+    private readonly terms: Exchange.Options,
     private readonly resolve: (exchange: Exchange) => void,
   ) {}
 
@@ -236,7 +236,7 @@
 
   private readonly onWhole = (): void => {
     const { answer, asked, line } = this;
-    const isWhole = answer?.complete && (!lastsToEnd(asked.method, answer) || line.isOrderly());
+    const isWhole = answer?.complete && (!lastsToEnd(asked.method, answer) || line.hasEndedCleanly());
     if (isWhole) this.end();
     else this.fail(Failure.of('reset', 'an answer was cut'));
   };
@@ -268,12 +268,12 @@
 
 export const Exchange = {
   /** A connection made ready for exchanges. */
-  line: (socket: Socket, authority: string, isOrderly: () => boolean): Exchange.Line => ({
+  transport: (socket: Socket, authority: string, isOrderly: () => boolean): Exchange.Transport => ({
     socket,
     authority,
-    isOrderly,
+    hasEndedCleanly: isOrderly,
     agent: new LineAgent(socket),
   }),
-  run: (line: Exchange.Line, asked: Exchange.Request, terms: Exchange.Terms): Promise<Exchange> =>
+  run: (line: Exchange.Transport, asked: Exchange.Request, terms: Exchange.Options): Promise<Exchange> =>
     new Promise((resolve) => new Running(line, asked, terms, resolve).start()),
 };
--- a/src/upstream/in-flight.ts
+++ b/src/upstream/in-flight.ts
@@ -1,21 +1,21 @@
 // How busy this node keeps each server. Prefill work (bytes of prompts whose response has not begun)
 // and decode work (responses being streamed) load a server differently, so they are counted apart.
 export type InFlight = {
-  readonly of: (instance: string) => InFlight.Level;
+  readonly of: (instance: string) => InFlight.Load;
   readonly begin: (instance: string, prompt: number) => InFlight.Job;
 };
 
 export declare namespace InFlight {
-  type Level = { readonly prefill: number; readonly decode: number; readonly jobs: number };
-  type Job = { readonly toDecode: () => void; readonly end: () => void };
+  type Load = { readonly prefill: number; readonly decode: number; readonly jobs: number };
+  type Job = { readonly startDecode: () => void; readonly end: () => void };
 }
 
-const none: InFlight.Level = { prefill: 0, decode: 0, jobs: 0 };
+const none: InFlight.Load = { prefill: 0, decode: 0, jobs: 0 };
 
 export const InFlight = {
   none,
   of(): InFlight {
-    const levels = new Map<string, InFlight.Level>();
+    const levels = new Map<string, InFlight.Load>();
     const add = (instance: string, prefill: number, decode: number, jobs: number) => {
       const level = levels.get(instance) ?? none;
       const next = {
@@ -32,7 +32,7 @@
         let stage: 'prefill' | 'decode' | 'ended' = 'prefill';
         add(instance, prompt, 0, 1);
         return {
-          toDecode() {
+          startDecode() {
             if (stage !== 'prefill') return;
             stage = 'decode';
             add(instance, -prompt, 1, 0);
--- a/src/upstream/outcome.ts
+++ b/src/upstream/outcome.ts
@@ -6,10 +6,10 @@
 import type { Failures } from './failures.js';
 import type { Prover } from './prover.js';
 import type { Ramp } from './ramp.js';
-import type { Trial } from './trial.js';
+import type { UpstreamTry } from './upstream-try.js';
 
 /** How a try ended, as far as its server is concerned. */
-export type Outcome = Trial;
+export type Outcome = UpstreamTry;
 
 export declare namespace Outcome {
   /** Those that learn from outcomes. */
@@ -22,19 +22,19 @@
 }
 
 /** What kinds of failure count: a whole failure, a request that was declined, a server that is silent for long. */
-const weights = { failed: 1, declined: 0.5, silent: 0.5 } as const;
+const failureWeights = { failed: 1, declined: 0.5, silent: 0.5 } as const;
 /** Tries that end by the caller or by the time that is over tell nothing of the server. */
-const callersOwn: readonly Trial.Why[] = ['left', 'late', 'total'];
+const callersOwn: readonly UpstreamTry.Reason[] = ['left', 'late', 'total'];
 
-const failureOf = (trial: Trial): number => {
+const failureOf = (trial: UpstreamTry): number => {
   if (trial.kind === 'stream' || trial.kind === 'unsent') return 0;
-  if (trial.kind !== 'response') return callersOwn.includes(trial.why) ? 0 : weights.failed;
+  if (trial.kind !== 'response') return callersOwn.includes(trial.why) ? 0 : failureWeights.failed;
   if (trial.pick.group.isNotRun(trial.status, trial.headers))
-    return trial.status >= 500 ? weights.declined : 0;
-  return trial.status >= 500 ? weights.failed : 0;
+    return trial.status >= 500 ? failureWeights.declined : 0;
+  return trial.status >= 500 ? failureWeights.failed : 0;
 };
 
-const judgeHealth = ({ ejector }: Outcome.Needs, trial: Trial): void => {
+const judgeHealth = ({ ejector }: Outcome.Needs, trial: UpstreamTry): void => {
   const { server, group } = trial.pick;
   if (trial.kind === 'stream' || (trial.kind === 'response' && trial.status < 500)) {
     ejector.good(server);
@@ -47,8 +47,8 @@
 
 /** Tells those that learn of servers how a try ended. */
 export const Outcome = {
-  weights,
-  tell(needs: Outcome.Needs, trial: Trial): void {
+  weights: failureWeights,
+  record(needs: Outcome.Needs, trial: UpstreamTry): void {
     const { server, group } = trial.pick;
     const failure = failureOf(trial);
     if (failure > 0) needs.failures.see(server.instance, failure);
--- a/src/upstream/pick.ts
+++ b/src/upstream/pick.ts
@@ -40,7 +40,7 @@
   return (hash ^ (hash >>> 16)) >>> 0;
 };
 
-const weigh = (level: InFlight.Level): number => level.prefill / 4096 + level.decode;
+const weigh = (level: InFlight.Load): number => level.prefill / 4096 + level.decode;
 
 export const Pick = {
   mix,
--- a/src/upstream/tries.ts
+++ b/src/upstream/tries.ts
@@ -11,45 +11,45 @@
 import { Pick } from './pick.js';
 import type { Placement } from './placement.js';
 import { RetryAfter } from './retry-after.js';
-import type { Trial } from './trial.js';
+import type { UpstreamTry } from './upstream-try.js';
 import { Weights } from './weights.js';
 
 export type Tries =
   | {
       readonly kind: 'stream';
-      readonly trial: Extract<Trial, { kind: 'stream' }>;
+      readonly trial: Extract<UpstreamTry, { kind: 'stream' }>;
       readonly tries: number;
       /** How many servers the request was sent to in all, those before a stream broke among them. */
       readonly sent: number;
     }
   | {
       readonly kind: 'response';
-      readonly trial: Extract<Trial, { kind: 'response' }>;
+      readonly trial: Extract<UpstreamTry, { kind: 'response' }>;
       readonly tries: number;
       readonly isNotRun: boolean;
     }
   | {
       readonly kind: 'refusal';
       readonly status: 502 | 503 | 504;
-      readonly why: Tries.Why;
+      readonly why: Tries.Reason;
       readonly retryAfter: number;
       readonly tries: number;
     };
 
 export declare namespace Tries {
-  type Why = Trial.Why | 'no_server' | 'budget' | 'refused' | 'attempts';
+  type Reason = UpstreamTry.Reason | 'no_server' | 'budget' | 'refused' | 'attempts';
   type Plan = {
     readonly rule: Compiled.Rule;
     readonly regions: readonly Ident.Region[];
     readonly key: string | undefined;
     readonly want: Placement.Want;
-    readonly before: { readonly tried: readonly string[]; readonly sent: number };
+    readonly previous: { readonly tried: readonly string[]; readonly sent: number };
     readonly deadline: Moment;
     readonly signal: AbortSignal;
     readonly budget: Budget;
-    readonly pick: () => Pick.Needs;
-    readonly run: (pick: Pick, tier: Pick.Tier, hops: number) => Promise<Trial>;
-    readonly note: (trial: Trial, isExtra: boolean) => void;
+    readonly pickNeeds: () => Pick.Needs;
+    readonly run: (pick: Pick, tier: Pick.Tier, hops: number) => Promise<UpstreamTry>;
+    readonly onTryEnd: (trial: UpstreamTry, isExtra: boolean) => void;
   };
   type Step =
     | { readonly kind: 'try'; readonly pick: Pick; readonly tier: Pick.Tier; readonly hops: number }
@@ -61,11 +61,11 @@
 const mostUnsent = 6;
 const grantWithin = 300;
 
-const isSurelyNotRun = (trial: Trial): boolean =>
+const isSurelyNotRun = (trial: UpstreamTry): boolean =>
   trial.kind === 'unsent' ||
   (trial.kind === 'response' && trial.pick.group.isNotRun(trial.status, trial.headers));
 
-const isRetriable = (trial: Trial, { on, codes }: Compiled.Retry): boolean =>
+const isRetriable = (trial: UpstreamTry, { on, codes }: Compiled.Retry): boolean =>
   match(trial)
     .with({ kind: 'stream' }, () => false)
     .with({ kind: 'unsent' }, ({ why }) => why !== 'left' && why !== 'total' && on.has('connect-failure'))
@@ -88,21 +88,21 @@
 const backOff = (retry: Compiled.Retry, count: number, random: () => number): number =>
   Math.min(retry.max, retry.base * 2 ** count) * (0.5 + random() / 2);
 
-function* decide(plan: Tries.Plan): Generator<Tries.Step, Tries, Trial | undefined> {
+function* decide(plan: Tries.Plan): Generator<Tries.Step, Tries, UpstreamTry | undefined> {
   const { rule } = plan;
   const tiers = Pick.tiers(rule, plan.regions);
-  const tried = new Set<string>(plan.before.tried);
+  const tried = new Set<string>(plan.previous.tried);
   let tries = 0;
-  let sent = plan.before.sent;
+  let sent = plan.previous.sent;
   let retries = Math.max(0, sent);
   let hops = 0;
   let tierIndex = 0;
   let mayHaveRun = false;
-  let last: Trial | undefined;
+  let last: UpstreamTry | undefined;
   let retryAfter = 0;
 
   const choose = (from: number, isUntried: boolean): { pick: Pick; index: number } | undefined => {
-    const needs = plan.pick();
+    const needs = plan.pickNeeds();
     for (let index = from; index < tiers.length; index += 1) {
       const open = Pick.open(tiers[index]!, needs).filter(
         ({ server }) => needs.ejector.restsFor(server) === 0 && (!isUntried || !tried.has(server.instance)),
@@ -114,10 +114,10 @@
     }
     return undefined;
   };
-  const verdict = (why?: Tries.Why): Tries => {
+  const verdict = (why?: Tries.Reason): Tries => {
     if (last?.kind === 'response' && why === undefined && !isSurelyNotRun(last) && last.status < 500)
       return { kind: 'response', trial: last, tries, isNotRun: false };
-    const cause: Tries.Why =
+    const cause: Tries.Reason =
       last?.kind === 'lost' || last?.kind === 'unsent' ? last.why : last ? 'refused' : (why ?? 'no_server');
     const isTimeout = ['first_byte', 'per_try', 'total', 'late'].includes(cause);
     const status = !mayHaveRun ? 503 : isTimeout ? 504 : 502;
@@ -130,7 +130,7 @@
   if (sent > 0 && isOver()) return verdict('total');
   let next = choose(0, true);
   if (!next) {
-    const needs = plan.pick();
+    const needs = plan.pickNeeds();
     const rests = tiers.flatMap((tier) =>
       Pick.open(tier, needs).map(({ server }) => needs.ejector.restsFor(server)),
     );
@@ -155,7 +155,7 @@
     tried.add(next.pick.server.instance);
     const trial = yield { kind: 'try', pick: next.pick, tier: tiers[tierIndex]!, hops };
     if (!trial) return verdict();
-    plan.note(trial, isExtra);
+    plan.onTryEnd(trial, isExtra);
     tries += 1;
     last = trial;
     const isFree =
@@ -165,10 +165,10 @@
     if (trial.kind === 'stream') return { kind: 'stream', trial, tries, sent };
     if (!isSurelyNotRun(trial)) mayHaveRun = true;
     if (trial.kind === 'response') {
-      const asked = RetryAfter.read(trial.headers);
+      const asked = RetryAfter.parse(trial.headers);
       if (asked !== undefined) {
         retryAfter = Math.max(retryAfter, asked);
-        plan.pick().ejector.rest(trial.pick.server, Math.min(asked, longestRetryAfter));
+        plan.pickNeeds().ejector.rest(trial.pick.server, Math.min(asked, longestRetryAfter));
       }
     }
     if (isOver()) return verdict();
@@ -180,19 +180,19 @@
     const isHop = untried !== undefined && untried.index > tierIndex;
     if (untried && (!isHop || hops < rule.hops)) {
       if (!isFree) {
-        plan.budget.want();
-        yield { kind: 'pause', span: backOff(rule.retry, retries, plan.pick().random) };
+        plan.budget.requestTokens();
+        yield { kind: 'pause', span: backOff(rule.retry, retries, plan.pickNeeds().random) };
         if (!isHop) retries += 1;
       }
     } else if (canRetry) {
-      const open = Pick.open(tiers[tierIndex]!, plan.pick());
-      const rests = open.map(({ server }) => plan.pick().ejector.restsFor(server));
+      const open = Pick.open(tiers[tierIndex]!, plan.pickNeeds());
+      const rests = open.map(({ server }) => plan.pickNeeds().ejector.restsFor(server));
       const wait = Math.max(
         Math.min(...rests, longestRetryAfter),
-        backOff(rule.retry, retries, plan.pick().random),
+        backOff(rule.retry, retries, plan.pickNeeds().random),
       );
       if (open.length === 0 || wait >= Moment.left(plan.deadline)) return verdict();
-      plan.budget.want();
+      plan.budget.requestTokens();
       yield { kind: 'pause', span: wait };
       retries += 1;
     } else return verdict();
@@ -208,16 +208,16 @@
 export const Tries = {
   async run(plan: Tries.Plan): Promise<Tries> {
     const course = decide(plan);
-    let told: Trial | undefined;
+    let told: UpstreamTry | undefined;
     for (;;) {
       const step = course.next(told);
       if (step.done) return step.value;
       if (step.value.kind === 'try') {
-        if (told === undefined && plan.before.sent === 0) plan.budget.earn();
+        if (told === undefined && plan.previous.sent === 0) plan.budget.earn();
         told = await plan.run(step.value.pick, step.value.tier, step.value.hops);
       } else {
         const span = Math.min(step.value.span, Moment.left(plan.deadline));
-        if (step.value.kind === 'token') await plan.budget.arrival(span, plan.signal);
+        if (step.value.kind === 'token') await plan.budget.waitForToken(span, plan.signal);
         else await Timer.pause(span, plan.signal);
       }
     }
--- a/src/upstream/trial.ts
+++ b/src/upstream/upstream-try.ts
@@ -6,15 +6,15 @@
 import { Timer } from '../kinds/timer.js';
 import type { Document } from '../manifest/document.js';
 import type { Connection } from './connection.js';
+import { Correlation } from './correlation.js';
 import type { Exchange } from './exchange.js';
 import type { InFlight } from './in-flight.js';
 import type { Pick } from './pick.js';
 import type { Pool } from './pool.js';
-import { Tie } from './tie.js';
 
-export type Trial =
-  | { readonly kind: 'unsent'; readonly why: Trial.Why; readonly pick: Pick }
-  | { readonly kind: 'lost'; readonly why: Trial.Why; readonly pick: Pick }
+export type UpstreamTry =
+  | { readonly kind: 'unsent'; readonly why: UpstreamTry.Reason; readonly pick: Pick }
+  | { readonly kind: 'lost'; readonly why: UpstreamTry.Reason; readonly pick: Pick }
   | {
       readonly kind: 'response';
       readonly status: number;
@@ -32,8 +32,8 @@
       readonly pick: Pick;
     };
 
-export declare namespace Trial {
-  type Why =
+export declare namespace UpstreamTry {
+  type Reason =
     | 'connect'
     | 'slow'
     | 'full'
@@ -51,18 +51,18 @@
     readonly timeouts: Document.Timeouts;
     readonly deadline: Moment;
     readonly signal: AbortSignal;
-    readonly isStillOpen: (pick: Pick) => boolean;
+    readonly isStillEligible: (pick: Pick) => boolean;
     readonly settle: () => Promise<void>;
-    readonly tie: Tie | undefined;
+    readonly correlation: Correlation | undefined;
     /** Connections that carried an earlier try of this request: an answer to that one may still come there. */
-    readonly used: Set<Connection>;
+    readonly usedConnections: Set<Connection>;
     readonly onSend: () => void;
     readonly weight: number;
     /** How long the server may be silent after the request was sent before it is suspected, in milliseconds. */
     readonly suspectAfter: number;
-    readonly onWait: () => void;
+    readonly onSuspect: () => void;
     /** Calls back when the server is found dark, for a request that another server may run as well. */
-    readonly onLost?: (end: () => void) => () => void;
+    readonly onUnreachable?: (end: () => void) => () => void;
   };
 }
 
@@ -70,28 +70,29 @@
 /** A connection that takes longer is left to the prover, and the request, which was not sent, goes elsewhere. */
 const slowConnect = 400;
 
-const limit = (spans: readonly (readonly [Trial.Why, number])[]): readonly [Trial.Why, number] =>
-  spans.reduce((least, one) => (one[1] < least[1] ? one : least));
+const limit = (
+  spans: readonly (readonly [UpstreamTry.Reason, number])[],
+): readonly [UpstreamTry.Reason, number] => spans.reduce((least, one) => (one[1] < least[1] ? one : least));
 
-const whyOf = (error: unknown, other: Trial.Why): Trial.Why => {
-  const told = Failure.info(error).why as Trial.Why | undefined;
+const whyOf = (error: unknown, other: UpstreamTry.Reason): UpstreamTry.Reason => {
+  const told = Failure.info(error).why as UpstreamTry.Reason | undefined;
   if (told) return told;
   return Failure.is(error, 'identity') ? 'identity' : Failure.is(error, 'connect') ? 'connect' : other;
 };
 
-export const Trial = {
-  async run(pick: Pick, needs: Trial.Needs): Promise<Trial> {
+export const UpstreamTry = {
+  async run(pick: Pick, needs: UpstreamTry.Needs): Promise<UpstreamTry> {
     const { timeouts, deadline, inFlight } = needs;
     const cut = new AbortController();
-    const end = (why: Trial.Why) => cut.abort(Failure.of('timeout', `ended by ${why}`, { why }));
+    const end = (why: UpstreamTry.Reason) => cut.abort(Failure.of('timeout', `ended by ${why}`, { why }));
     const onLeave = () => end('left');
     const perTry = Moment.after(timeouts.per_try);
-    const bounds = (): (readonly [Trial.Why, number])[] => [
+    const bounds = (): (readonly [UpstreamTry.Reason, number])[] => [
       ['per_try', Moment.left(perTry)],
       ['total', Moment.left(deadline)],
     ];
     const isOpenedAtOnce = pick.group.proof !== undefined;
-    const patience: readonly [Trial.Why, number][] = isOpenedAtOnce ? [['slow', slowConnect]] : [];
+    const patience: readonly [UpstreamTry.Reason, number][] = isOpenedAtOnce ? [['slow', slowConnect]] : [];
     let [why, span] = limit([['connect', timeouts.connect], ...patience, ...bounds()]);
     // A process that was held up hears of its connection in the same turn as of the time that is over.
     const endSlow = () => {
@@ -106,7 +107,8 @@
       needs.signal.removeEventListener('abort', onLeave);
       job.end();
     };
-    const mayCarry = (one: Connection) => one.mayCarry(needs.tie !== undefined) && !needs.used.has(one);
+    const mayCarry = (one: Connection) =>
+      one.mayCarry(needs.correlation !== undefined) && !needs.usedConnections.has(one);
     let connection: Connection;
     try {
       connection = await needs.pool.take(pick.server, pick.group, cut.signal, mayCarry);
@@ -114,24 +116,24 @@
       finish();
       return { kind: 'unsent', why: cut.signal.aborted ? why : whyOf(error, 'connect'), pick };
     }
-    needs.used.add(connection);
+    needs.usedConnections.add(connection);
     await needs.settle();
     [why, span] = limit([['first_byte', timeouts.first_byte], ...bounds()]);
     timer.move(span);
-    const wait = Timer.after(needs.suspectAfter, needs.onWait);
-    const forget = needs.onLost?.(() => end('reset'));
+    const wait = Timer.after(needs.suspectAfter, needs.onSuspect);
+    const forget = needs.onUnreachable?.(() => end('reset'));
     const begin = () => {
       needs.onSend();
       return true;
     };
     const result = await connection.run(needs.request(Moment.left(deadline)), {
-      isTied: needs.tie !== undefined,
+      isCorrelated: needs.correlation !== undefined,
       signal: cut.signal,
       maySend: () =>
         !Moment.isPast(perTry) &&
         !Moment.isPast(deadline) &&
         !needs.signal.aborted &&
-        needs.isStillOpen(pick) &&
+        needs.isStillEligible(pick) &&
         begin(),
     });
     wait.stop();
@@ -140,18 +142,18 @@
       finish();
       await connection.destroy();
       if (result.isSent) return { kind: 'lost', why: whyOf(result.cause, 'reset'), pick };
-      const isLate = Moment.isPast(deadline) || needs.signal.aborted || !needs.isStillOpen(pick);
+      const isLate = Moment.isPast(deadline) || needs.signal.aborted || !needs.isStillEligible(pick);
       return { kind: 'unsent', why: isLate ? 'late' : whyOf(result.cause, 'connect'), pick };
     }
     const { status, headers, body } = result;
-    if (!Tie.holds(needs.tie, headers)) {
+    if (!Correlation.matches(needs.correlation, headers)) {
       finish();
       await connection.destroy();
       return { kind: 'lost', why: 'reset', pick };
     }
     if (status < 400) {
       timer.stop();
-      job.toDecode();
+      job.startDecode();
       needs.signal.removeEventListener('abort', onLeave);
       return { kind: 'stream', status, headers, body, connection, job, pick };
     }
--- a/test/budget-reserve.test.ts
+++ b/test/budget-reserve.test.ts
@@ -34,7 +34,7 @@
     earn(5);
     clock.pass(Purse.lifetime - 1000);
     earn(12);
-    budget.tend();
+    budget.maintain();
     clock.pass(1200);
     assert.equal(budget.spend(), true);
   });
@@ -43,7 +43,7 @@
     earn(5);
     clock.pass(1000);
     earn(12);
-    budget.tend();
+    budget.maintain();
     assert.equal(passedOn, 12 * earned);
     clock.pass(Purse.lifetime - 1000 + 1);
     assert.equal(budget.held(), 0);
@@ -52,10 +52,10 @@
   it('asks for what is missing of the reserve, and not while it holds one', () => {
     earn(5);
     clock.pass(Purse.lifetime - 1000);
-    budget.tend();
+    budget.maintain();
     assert.equal(asked, 0);
     clock.pass(1001);
-    budget.tend();
+    budget.maintain();
     assert.equal(asked, whole);
   });
 
@@ -66,7 +66,7 @@
     for (let turn = 0; turn < 400; turn += 1) {
       earn(2);
       earnedInAll += 2 * earned;
-      budget.tend();
+      budget.maintain();
       if (turn > 2 && budget.held() < 1) turnsWithout += 1;
       if (turn % 40 === 39 && budget.spend()) spent += whole;
       clock.pass(500);
--- a/test/connection.test.ts
+++ b/test/connection.test.ts
@@ -41,7 +41,7 @@
 });
 
 const send = async (connection: Connection, request = asked(), signal = never) => {
-  const came = await connection.run(request, { isTied: true, maySend: () => true, signal });
+  const came = await connection.run(request, { isCorrelated: true, maySend: () => true, signal });
   if (came.kind === 'failure') return came;
   const body = await came.body.collect(1e6).then(String, (error: Error) => error);
   connection.release();
@@ -77,7 +77,7 @@
   });
   it('sends nothing when the look at the moment of sending says no', async () => {
     const { connection } = await meet(() => assert.fail('a request came'));
-    const came = await connection.run(asked(), { isTied: true, maySend: () => false, signal: never });
+    const came = await connection.run(asked(), { isCorrelated: true, maySend: () => false, signal: never });
     assert.deepEqual([came.kind, 'isSent' in came && came.isSent], ['failure', false]);
   });
   it('says that a request without an answer was sent', async () => {
@@ -104,7 +104,7 @@
   it('is not kept after an answer that came before its request was written', async () => {
     const { connection, isClosed, sockets } = await meet(() => {});
     const running = connection.run(asked({ body: Buffer.alloc(64 * 1024 * 1024) }), {
-      isTied: true,
+      isCorrelated: true,
       maySend: () => true,
       signal: never,
     });
--- a/test/silent-servers.test.ts
+++ b/test/silent-servers.test.ts
@@ -11,7 +11,7 @@
 import type { Pool } from '../src/upstream/pool.js';
 import { Prover } from '../src/upstream/prover.js';
 import { Suspicion } from '../src/upstream/suspicion.js';
-import { Trial } from '../src/upstream/trial.js';
+import { UpstreamTry } from '../src/upstream/upstream-try.js';
 
 const group = { name: 'llm', proof: { header: 'only-instance' } } as unknown as Compiled.Group;
 const serverOf = (instance: string) => ({ instance, group: 'llm' }) as unknown as Compiled.Server;
@@ -116,22 +116,22 @@
 const never = new AbortController().signal;
 
 const runTrial = (pool: Partial<Pool>, onLost?: (end: () => void) => () => void) =>
-  Trial.run(pick, {
+  UpstreamTry.run(pick, {
     pool: pool as Pool,
     inFlight: InFlight.of(),
     request: () => ({ method: 'GET', path: '/', headers: {}, body: null }),
     timeouts: { connect: 5000, first_byte: 5000, per_try: 5000, total: 5000, idle: 5000 },
     deadline: Number.POSITIVE_INFINITY as never,
     signal: never,
-    isStillOpen: () => true,
+    isStillEligible: () => true,
     settle: async () => {},
-    tie: undefined,
-    used: new Set(),
+    correlation: undefined,
+    usedConnections: new Set(),
     onSend() {},
     weight: 1,
     suspectAfter: 1000,
-    onWait() {},
-    ...(onLost ? { onLost } : {}),
+    onSuspect() {},
+    ...(onLost ? { onUnreachable: onLost } : {}),
   });
 
 describe('a try', () => {
@@ -148,7 +148,7 @@
     assert.ok(span >= 390 && span < 2000, `${span} ms`);
     const seen: string[] = [];
     const see = (name: string) => () => void seen.push(name);
-    Outcome.tell(
+    Outcome.record(
       {
         failures: { see: see('failure'), good: see('good') },
         ejector: { good: see('well'), bad: see('ill'), misdirected: see('misdirected') },
--- a/test/upstream.test.ts
+++ b/test/upstream.test.ts
@@ -167,7 +167,7 @@
     time.pass(1999);
     assert.equal(budget.spend(), false);
     proxies = 2;
-    budget.tend();
+    budget.maintain();
     time.pass(1999);
     assert.equal(budget.spend(), false);
     proxies = 1;
@@ -204,7 +204,7 @@
     assert.ok(Math.min(...each) >= 4, `${Math.min(...each)} tries of some proxy in a minute`);
     assert.ok(most(spent, window) <= tries / 2, `${most(spent, window)} in a window of ${tries}`);
     const crowd = Budget.of(() => false, { tries: 10, window, proxies: () => 80 });
-    crowd.tend();
+    crowd.maintain();
     time.pass(window);
     assert.equal(crowd.spend(), false, 'more proxies than all tries allowed: none by itself');
   });
@@ -331,11 +331,11 @@
 describe('retry-after', () => {
   it('is read in seconds, fractions among them, and as a date against the answer’s own', () => {
     const date = 'Wed, 21 Oct 2015 07:28:00 GMT';
-    assert.equal(RetryAfter.read({ 'retry-after': '2' }), 2000);
-    assert.equal(RetryAfter.read({ 'retry-after': '0.25' }), 250);
-    assert.equal(RetryAfter.read({ 'retry-after': 'Wed, 21 Oct 2015 07:28:03 GMT', date }), 3000);
+    assert.equal(RetryAfter.parse({ 'retry-after': '2' }), 2000);
+    assert.equal(RetryAfter.parse({ 'retry-after': '0.25' }), 250);
+    assert.equal(RetryAfter.parse({ 'retry-after': 'Wed, 21 Oct 2015 07:28:03 GMT', date }), 3000);
     for (const text of ['soon', '-1', '1.', '.5', '1e3'])
-      assert.equal(RetryAfter.read({ 'retry-after': text, date }), undefined, text);
+      assert.equal(RetryAfter.parse({ 'retry-after': text, date }), undefined, text);
   });
 });
 
--- a/tools/experiment/exchange.ts
+++ b/tools/experiment/exchange.ts
@@ -1,5 +1,5 @@
 /** One run of a request on a server, over the simulated network: a connection, the way there, pieces on the way back. */
-import type { Trial } from '../../src/upstream/trial.js';
+import type { UpstreamTry } from '../../src/upstream/upstream-try.js';
 import type { Front } from './front.js';
 import type { Connections, Network } from './network.js';
 import type { Server } from './server.js';
@@ -63,7 +63,7 @@
   }
 }
 
-const streams = new WeakMap<Trial, Stream>();
+const streams = new WeakMap<UpstreamTry, Stream>();
 
 class Exchanging {
   private readonly delay: number;
@@ -74,7 +74,7 @@
 
   constructor(
     private readonly terms: Exchange.Terms,
-    private readonly settle: (trial: Trial) => void,
+    private readonly settle: (trial: UpstreamTry) => void,
   ) {
     const { timeline, network, from, server, run } = terms;
     this.delay = network.delay(from, server.zone);
@@ -104,7 +104,7 @@
   private readonly onLeave = (): void => this.stop('left', 'left');
 
   /** Ends the run from this side, and lets the server know. */
-  private stop(how: 'server' | 'left', why: Trial.Why): void {
+  private stop(how: 'server' | 'left', why: UpstreamTry.Reason): void {
     const { timeline, server, id, run } = this.terms;
     this.breakOff(how, { kind: 'lost', why, pick: run.pick });
     timeline.after(this.delay, () => server.leave(id));
@@ -116,14 +116,14 @@
     this.terms.run.signal.removeEventListener('abort', this.onLeave);
   }
 
-  private breakOff(how: 'server' | 'left', trial: Trial): void {
+  private breakOff(how: 'server' | 'left', trial: UpstreamTry): void {
     if (this.isOver) return;
     this.close();
     if (this.isStream) this.pieces.finish(how);
     else this.settle(trial);
   }
 
-  private fail(why: Trial.Why): void {
+  private fail(why: UpstreamTry.Reason): void {
     if (this.isOver) return;
     this.close();
     this.settle({ kind: 'unsent', why, pick: this.terms.run.pick });
@@ -185,7 +185,7 @@
     if (this.isStream) return;
     this.isStream = true;
     const { job, pick } = this.terms.run;
-    const trial = { kind: 'stream', status: 200, headers: {}, job, pick } as unknown as Trial;
+    const trial = { kind: 'stream', status: 200, headers: {}, job, pick } as unknown as UpstreamTry;
     streams.set(trial, this.pieces);
     this.settle(trial);
   }
@@ -207,8 +207,8 @@
 
 /** Runs of requests on servers. */
 export const Exchange = {
-  streamOf: (trial: Trial): Stream => streams.get(trial)!,
-  run: (terms: Exchange.Terms): Promise<Trial> =>
+  streamOf: (trial: UpstreamTry): Stream => streams.get(trial)!,
+  run: (terms: Exchange.Terms): Promise<UpstreamTry> =>
     new Promise((resolve) => {
       new Exchanging(terms, resolve).start();
     }),
--- a/tools/experiment/front.ts
+++ b/tools/experiment/front.ts
@@ -20,8 +20,8 @@
 import { Prover } from '../../src/upstream/prover.js';
 import { Ramp } from '../../src/upstream/ramp.js';
 import { Suspicion } from '../../src/upstream/suspicion.js';
-import type { Trial } from '../../src/upstream/trial.js';
 import { Tries } from '../../src/upstream/tries.js';
+import type { UpstreamTry } from '../../src/upstream/upstream-try.js';
 import { Warmup } from '../../src/upstream/warmup.js';
 
 /** A proxy that decides, without sockets. */
@@ -45,8 +45,10 @@
     readonly left: number;
     readonly signal: AbortSignal;
     /** How a run on a server goes: until its head comes, and then until its end. */
-    readonly run: (run: Run) => Promise<Trial>;
-    readonly onStream: (trial: Extract<Trial, { kind: 'stream' }>) => Promise<'done' | 'server' | 'left'>;
+    readonly run: (run: Run) => Promise<UpstreamTry>;
+    readonly onStream: (
+      trial: Extract<UpstreamTry, { kind: 'stream' }>,
+    ) => Promise<'done' | 'server' | 'left'>;
     /** The last piece that has come, once one has. */
     readonly last: () => number;
   };
@@ -59,9 +61,9 @@
     readonly onSend: () => void;
     readonly onPiece: (span: number) => void;
     readonly connectWithin: number;
-    readonly connectWhy: Trial.Why;
+    readonly connectWhy: UpstreamTry.Reason;
     /** Hands over what ends the run from here, when its server is found dark. */
-    readonly onEnd: (end: (why: Trial.Why) => void) => void;
+    readonly onEnd: (end: (why: UpstreamTry.Reason) => void) => void;
   };
   type Answer =
     | { readonly kind: 'served' | 'broken' }
@@ -154,7 +156,7 @@
 };
 
 /** What is to be done when a stream has ended. */
-const ends = new WeakMap<Trial, () => void>();
+const ends = new WeakMap<UpstreamTry, () => void>();
 
 /** One request on its way through a proxy. */
 class Serving {
@@ -203,13 +205,13 @@
       regions: rule.homeRegions ?? compiled().regions,
       key: prompt.length > 1 ? prompt.map(({ key }) => key).join() : undefined,
       want: request.want,
-      before: { tried: [...this.tried], sent },
+      previous: { tried: [...this.tried], sent },
       deadline: this.deadline,
       signal: request.signal,
       budget: parts.budget,
-      pick: () => this.pickNeeds(),
+      pickNeeds: () => this.pickNeeds(),
       run: (pick) => this.run(pick, after),
-      note: (trial) => Outcome.tell(parts, trial),
+      onTryEnd: (trial) => Outcome.record(parts, trial),
     });
   }
 
@@ -229,7 +231,7 @@
     };
   }
 
-  private async run(pick: Choice, after: number): Promise<Trial> {
+  private async run(pick: Choice, after: number): Promise<UpstreamTry> {
     const { parts, request, rule, deadline } = this;
     const { instance } = pick.server;
     this.tried.push(instance);
@@ -260,7 +262,7 @@
     place.leave();
     if (trial.kind === 'stream') {
       watch.began();
-      job.toDecode();
+      job.startDecode();
       placed.answered(Moment.since(sentAt));
       ends.set(trial, watch.stop);
     } else {
@@ -270,7 +272,11 @@
     return trial;
   }
 
-  private endWhenDark(instance: string, watch: { onStop: () => void }, end: (why: Trial.Why) => void): void {
+  private endWhenDark(
+    instance: string,
+    watch: { onStop: () => void },
+    end: (why: UpstreamTry.Reason) => void,
+  ): void {
     const { parts, rule } = this;
     if (rule.isOnce) return;
     watch.onStop = parts.prover.watch(instance, () => {
@@ -309,7 +315,7 @@
   of(needs: Front.Needs): Front {
     let compiled: Compiled | undefined;
     const parts = partsOf(needs, () => compiled);
-    const tending = Timer.every(tendEvery, () => parts.budget.tend());
+    const tending = Timer.every(tendEvery, () => parts.budget.maintain());
     return {
       serve: (request) => new Serving(parts, () => compiled!, request).serve(),
       enforce(next) {
