--- a/src/proxy/filters/commit.ts
+++ b/src/proxy/filters/commit.ts
@@ -53,7 +53,7 @@
   });
 };
 
-const answer = (needs: Filter.Needs, call: Call, { trial, tries }: Answered): Filter.Step => {
+const answer = (needs: Filter.Needs, call: Call, { result: trial, tries }: Answered): Filter.Step => {
   const { outgoing, dialect } = call;
   if (Call.need(call, 'rule').isOnce && dialect.promises.has(trial.status)) {
     count(needs, call, 'response_no_promise');
@@ -77,7 +77,7 @@
 };
 
 const stream = async (needs: Filter.Needs, call: Call, streamed: Streamed): Promise<Filter.Step> => {
-  const { trial, tries, sent } = streamed;
+  const { result: trial, tries, sent } = streamed;
   if (call.outgoing.destroyed) {
     await StreamAnswer.discard(trial);
     count(needs, call, 'client_left');
--- a/src/proxy/stream-answer.ts
+++ b/src/proxy/stream-answer.ts
@@ -134,11 +134,11 @@
     const verdict = await call.resume(events.last(), this.sent);
     if (verdict.kind !== 'stream') return false;
     this.sent = verdict.sent;
-    if (call.outgoing.destroyed || verdict.trial.status !== 200 || !isEventStream(verdict.trial)) {
-      await discard(verdict.trial);
+    if (call.outgoing.destroyed || verdict.result.status !== 200 || !isEventStream(verdict.result)) {
+      await discard(verdict.result);
       return false;
     }
-    this.trial = verdict.trial;
+    this.trial = verdict.result;
     return true;
   }
 }
--- a/src/upstream/tries.ts
+++ b/src/upstream/tries.ts
@@ -17,14 +17,14 @@
 export type Tries =
   | {
       readonly kind: 'stream';
-      readonly trial: Extract<UpstreamTry, { kind: 'stream' }>;
+      readonly result: Extract<UpstreamTry, { kind: 'stream' }>;
       readonly tries: number;
       /** How many servers the request was sent to in all, those before a stream broke among them. */
       readonly sent: number;
     }
   | {
       readonly kind: 'response';
-      readonly trial: Extract<UpstreamTry, { kind: 'response' }>;
+      readonly result: Extract<UpstreamTry, { kind: 'response' }>;
       readonly tries: number;
       readonly isNotRun: boolean;
     }
@@ -116,7 +116,7 @@
   };
   const verdict = (why?: Tries.Reason): Tries => {
     if (last?.kind === 'response' && why === undefined && !isSurelyNotRun(last) && last.status < 500)
-      return { kind: 'response', trial: last, tries, isNotRun: false };
+      return { kind: 'response', result: last, tries, isNotRun: false };
     const cause: Tries.Reason =
       last?.kind === 'lost' || last?.kind === 'unsent' ? last.why : last ? 'refused' : (why ?? 'no_server');
     const isTimeout = ['first_byte', 'per_try', 'total', 'late'].includes(cause);
@@ -162,7 +162,7 @@
       trial.kind === 'unsent' &&
       (trial.pick.group.proof !== undefined || ['full', 'slow'].includes(trial.why));
     if (!isFree) sent += 1;
-    if (trial.kind === 'stream') return { kind: 'stream', trial, tries, sent };
+    if (trial.kind === 'stream') return { kind: 'stream', result: trial, tries, sent };
     if (!isSurelyNotRun(trial)) mayHaveRun = true;
     if (trial.kind === 'response') {
       const asked = RetryAfter.parse(trial.headers);
--- a/tools/experiment/front.ts
+++ b/tools/experiment/front.ts
@@ -178,12 +178,12 @@
     let verdict = await this.launch(0, 0);
     for (;;) {
       if (verdict.kind === 'response')
-        return { kind: 'refused', status: verdict.trial.status, why: 'server', retryAfter: 0 };
+        return { kind: 'refused', status: verdict.result.status, why: 'server', retryAfter: 0 };
       if (verdict.kind === 'refusal') {
         const { status, why, retryAfter } = verdict;
         return request.last() > 0 ? { kind: 'broken' } : { kind: 'refused', status, why, retryAfter };
       }
-      const { trial } = verdict;
+      const { result: trial } = verdict;
       const how = await request.onStream(trial);
       trial.job.end();
       ends.get(trial)?.();
