--- a/src/upstream/outcome.ts
+++ b/src/upstream/outcome.ts
@@ -1,6 +1,6 @@
 /**
- * What the outcome of a try tells about its server: to the sums of failures, to outlier ejection, to the prover of
- * unreachable servers and to the slow start of new ones.
+ * Reports the result of a try to the components that track server health: failure totals, outlier ejection, the prover
+ * that checks unreachable servers, and the slow start of new servers.
  */
 import type { Ejector } from './ejector.js';
 import type { Failures } from './failures.js';
@@ -8,11 +8,12 @@
 import type { Ramp } from './ramp.js';
 import type { UpstreamTry } from './upstream-try.js';
 
-/** How a try ended, as far as its server is concerned. */
+/** The result of a try, as seen by the health tracking of its server. */
 export type Outcome = UpstreamTry;
 
+/** Types of outcome reporting. */
 export declare namespace Outcome {
-  /** Those that learn from outcomes. */
+  /** The components that outcomes are reported to. */
   type Needs = {
     readonly failures: Pick<Failures, 'see' | 'good'>;
     readonly ejector: Pick<Ejector, 'good' | 'bad' | 'misdirected'>;
@@ -21,48 +22,51 @@
   };
 }
 
-/** What kinds of failure count: a whole failure, a request that was declined, a server that is silent for long. */
+/** Weight of each kind of failure: a failed try, a request the server declined to run, a long silence of the server. */
 const failureWeights = { failed: 1, declined: 0.5, silent: 0.5 } as const;
-/** Tries that end by the caller or by the time that is over tell nothing of the server. */
-const callersOwn: readonly UpstreamTry.Reason[] = ['left', 'late', 'total'];
+/** Tries ended by the caller or by the deadline of the request say nothing about the server. */
+const callerReasons: readonly UpstreamTry.Reason[] = ['left', 'late', 'total'];
 
-const failureOf = (trial: UpstreamTry): number => {
-  if (trial.kind === 'stream' || trial.kind === 'unsent') return 0;
-  if (trial.kind !== 'response') return callersOwn.includes(trial.why) ? 0 : failureWeights.failed;
-  if (trial.pick.group.isNotRun(trial.status, trial.headers))
-    return trial.status >= 500 ? failureWeights.declined : 0;
-  return trial.status >= 500 ? failureWeights.failed : 0;
+/** The weight of the failure, or 0 if the try does not count against the server. */
+const failureWeightOf = (result: UpstreamTry): number => {
+  if (result.kind === 'stream' || result.kind === 'unsent') return 0;
+  if (result.kind !== 'response') return callerReasons.includes(result.why) ? 0 : failureWeights.failed;
+  if (result.pick.group.isNotRun(result.status, result.headers))
+    return result.status >= 500 ? failureWeights.declined : 0;
+  return result.status >= 500 ? failureWeights.failed : 0;
 };
 
-const judgeHealth = ({ ejector }: Outcome.Needs, trial: UpstreamTry): void => {
-  const { server, group } = trial.pick;
-  if (trial.kind === 'stream' || (trial.kind === 'response' && trial.status < 500)) {
+/** Reports success or failure of the server to outlier ejection. */
+const updateEjector = ({ ejector }: Outcome.Needs, result: UpstreamTry): void => {
+  const { server, group } = result.pick;
+  if (result.kind === 'stream' || (result.kind === 'response' && result.status < 500)) {
     ejector.good(server);
     return;
   }
-  const isDeclined = trial.kind === 'response' && group.isNotRun(trial.status, trial.headers);
-  const isOwn = trial.kind !== 'response' && [...callersOwn, 'full', 'slow'].includes(trial.why);
-  if (!isDeclined && !isOwn) ejector.bad(server, group);
+  const isDeclined = result.kind === 'response' && group.isNotRun(result.status, result.headers);
+  const isNoServerFault =
+    result.kind !== 'response' && [...callerReasons, 'full', 'slow'].includes(result.why);
+  if (!isDeclined && !isNoServerFault) ejector.bad(server, group);
 };
 
-/** Tells those that learn of servers how a try ended. */
+/** Reports results of tries to the components that track server health. */
 export const Outcome = {
   weights: failureWeights,
-  record(needs: Outcome.Needs, trial: UpstreamTry): void {
-    const { server, group } = trial.pick;
-    const failure = failureOf(trial);
-    if (failure > 0) needs.failures.see(server.instance, failure);
-    else if (trial.kind === 'stream') needs.failures.good(server.instance);
-    if (trial.kind === 'unsent' && (trial.why === 'connect' || trial.why === 'identity'))
+  record(needs: Outcome.Needs, result: UpstreamTry): void {
+    const { server, group } = result.pick;
+    const failureWeight = failureWeightOf(result);
+    if (failureWeight > 0) needs.failures.see(server.instance, failureWeight);
+    else if (result.kind === 'stream') needs.failures.good(server.instance);
+    if (result.kind === 'unsent' && (result.why === 'connect' || result.why === 'identity'))
       needs.prover.lost(server);
     const isSuspect =
-      trial.kind === 'unsent' ? trial.why === 'slow' : trial.kind === 'lost' && trial.why !== 'left';
+      result.kind === 'unsent' ? result.why === 'slow' : result.kind === 'lost' && result.why !== 'left';
     if (isSuspect) needs.prover.suspect(server);
-    if (trial.kind === 'response' && trial.status === group.proof?.misdirected) {
+    if (result.kind === 'response' && result.status === group.proof?.misdirected) {
       needs.ejector.misdirected(server);
       return;
     }
-    if (trial.kind === 'stream' || trial.kind === 'response') needs.ramp.good(server.instance);
-    judgeHealth(needs, trial);
+    if (result.kind === 'stream' || result.kind === 'response') needs.ramp.good(server.instance);
+    updateEjector(needs, result);
   },
 };
--- a/src/upstream/tries.ts
+++ b/src/upstream/tries.ts
@@ -1,7 +1,10 @@
-// All tries of one request. A generator decides: it yields what to do next, is told how that ended,
-// and returns the verdict; the task around it does the work. A once rule is tried again only when the
-// request certainly was not run. Every try beyond the first needs a token, and one deadline and hop
-// budget bound them all. A verdict is given the moment it is known; only a stream that broke waits for its token.
+/**
+ * The retry loop of one request. The generator `decide` yields the next step (send a try, pause, wait for a retry token),
+ * is resumed with the result of that step and returns the final result; `Tries.run` performs the steps. A request whose
+ * rule forbids a second execution (`isOnce`) is retried only if the server certainly did not run it. Once the
+ * request has been sent, every further try costs a retry token, and one deadline and one hop limit apply to all tries together. A request without a token
+ * fails at once; only the resumption of a broken stream waits for one.
+ */
 import { match } from 'ts-pattern';
 import type { Ident } from '../kinds/ident.js';
 import { Moment } from '../kinds/moment.js';
@@ -14,12 +17,13 @@
 import type { UpstreamTry } from './upstream-try.js';
 import { Weights } from './weights.js';
 
+/** The final result of a request: a stream, a complete response, or a refusal that the proxy generates. */
 export type Tries =
   | {
       readonly kind: 'stream';
       readonly result: Extract<UpstreamTry, { kind: 'stream' }>;
       readonly tries: number;
-      /** How many servers the request was sent to in all, those before a stream broke among them. */
+      /** Number of servers the request was sent to, including those tried before a broken stream was resumed. */
       readonly sent: number;
     }
   | {
@@ -32,41 +36,53 @@
       readonly kind: 'refusal';
       readonly status: 502 | 503 | 504;
       readonly why: Tries.Reason;
+      /** Milliseconds after which the client may retry; 0 if unknown. */
       readonly retryAfter: number;
       readonly tries: number;
     };
 
+/** Types of the retry loop. */
 export declare namespace Tries {
   type Reason = UpstreamTry.Reason | 'no_server' | 'budget' | 'refused' | 'attempts';
+  /** Inputs and callbacks of one retry loop. */
   type Plan = {
     readonly rule: Compiled.Rule;
     readonly regions: readonly Ident.Region[];
+    /** Affinity key, used where the rule asks for affinity. */
     readonly key: string | undefined;
     readonly want: Placement.Want;
+    /** Servers and tries already used by this request when a broken stream is resumed. */
     readonly previous: { readonly tried: readonly string[]; readonly sent: number };
     readonly deadline: Moment;
     readonly signal: AbortSignal;
     readonly budget: Budget;
     readonly pickNeeds: () => Pick.Needs;
     readonly run: (pick: Pick, tier: Pick.Tier, hops: number) => Promise<UpstreamTry>;
-    readonly onTryEnd: (trial: UpstreamTry, isExtra: boolean) => void;
+    /** Called after each try; `isExtra` is true if the try used a retry token. */
+    readonly onTryEnd: (result: UpstreamTry, isExtra: boolean) => void;
   };
+  /** What the loop does next; `span` is in milliseconds. */
   type Step =
     | { readonly kind: 'try'; readonly pick: Pick; readonly tier: Pick.Tier; readonly hops: number }
     | { readonly kind: 'pause'; readonly span: number }
     | { readonly kind: 'token'; readonly span: number };
 }
 
-const longestRetryAfter = 5000;
-const mostUnsent = 6;
-const grantWithin = 300;
+/** Upper bound on how long a Retry-After header keeps a server out of selection, in milliseconds. */
+const maxServerRestMs = 5000;
+/** A try that could not be sent and costs no token ends the request once it has made more tries than this. */
+const maxTriesIfUnsent = 6;
+/** How long the resumption of a broken stream waits for a retry token, in milliseconds. */
+const maxTokenWaitMs = 300;
 
-const isSurelyNotRun = (trial: UpstreamTry): boolean =>
-  trial.kind === 'unsent' ||
-  (trial.kind === 'response' && trial.pick.group.isNotRun(trial.status, trial.headers));
+/** Whether the server certainly did not run the request: it was not sent, or the response declares it. */
+const isSurelyNotRun = (result: UpstreamTry): boolean =>
+  result.kind === 'unsent' ||
+  (result.kind === 'response' && result.pick.group.isNotRun(result.status, result.headers));
 
-const isRetriable = (trial: UpstreamTry, { on, codes }: Compiled.Retry): boolean =>
-  match(trial)
+/** Whether the retry policy covers this result. Client disconnects and the total timeout are never retried. */
+const isRetriable = (result: UpstreamTry, { on, codes }: Compiled.Retry): boolean =>
+  match(result)
     .with({ kind: 'stream' }, () => false)
     .with({ kind: 'unsent' }, ({ why }) => why !== 'left' && why !== 'total' && on.has('connect-failure'))
     .with({ kind: 'lost', why: 'reset' }, () => on.has('reset') || on.has('5xx'))
@@ -78,15 +94,16 @@
     .with(
       { kind: 'response' },
       ({ status }) =>
-        (isSurelyNotRun(trial) && on.has('refused-stream')) ||
+        (isSurelyNotRun(result) && on.has('refused-stream')) ||
         (status >= 500 && on.has('5xx')) ||
         (status >= 502 && status <= 504 && on.has('gateway-error')) ||
         (codes.has(status) && on.has('retriable-status-codes')),
     )
     .exhaustive();
 
-const backOff = (retry: Compiled.Retry, count: number, random: () => number): number =>
-  Math.min(retry.max, retry.base * 2 ** count) * (0.5 + random() / 2);
+/** Exponential backoff with jitter: 50 to 100 percent of the capped interval. */
+const backOff = (retry: Compiled.Retry, retryCount: number, random: () => number): number =>
+  Math.min(retry.max, retry.base * 2 ** retryCount) * (0.5 + random() / 2);
 
 function* decide(plan: Tries.Plan): Generator<Tries.Step, Tries, UpstreamTry | undefined> {
   const { rule } = plan;
@@ -98,123 +115,133 @@
   let hops = 0;
   let tierIndex = 0;
   let mayHaveRun = false;
-  let last: UpstreamTry | undefined;
+  let lastResult: UpstreamTry | undefined;
   let retryAfter = 0;
 
   const choose = (from: number, isUntried: boolean): { pick: Pick; index: number } | undefined => {
     const needs = plan.pickNeeds();
     for (let index = from; index < tiers.length; index += 1) {
-      const open = Pick.open(tiers[index]!, needs).filter(
+      const eligible = Pick.open(tiers[index]!, needs).filter(
         ({ server }) => needs.ejector.restsFor(server) === 0 && (!isUntried || !tried.has(server.instance)),
       );
-      const drawn = rule.weights ? Weights.draw(open, rule.weights, needs.random) : open;
+      const candidates = rule.weights ? Weights.draw(eligible, rule.weights, needs.random) : eligible;
       const want = rule.aim === undefined ? undefined : plan.want;
-      const pick = Pick.choose(drawn, rule.isAffine ? plan.key : undefined, needs, want);
+      const pick = Pick.choose(candidates, rule.isAffine ? plan.key : undefined, needs, want);
       if (pick) return { pick, index };
     }
     return undefined;
   };
-  const verdict = (why?: Tries.Reason): Tries => {
-    if (last?.kind === 'response' && why === undefined && !isSurelyNotRun(last) && last.status < 500)
-      return { kind: 'response', result: last, tries, isNotRun: false };
+  const finish = (why?: Tries.Reason): Tries => {
+    if (
+      lastResult?.kind === 'response' &&
+      why === undefined &&
+      !isSurelyNotRun(lastResult) &&
+      lastResult.status < 500
+    )
+      return { kind: 'response', result: lastResult, tries, isNotRun: false };
     const cause: Tries.Reason =
-      last?.kind === 'lost' || last?.kind === 'unsent' ? last.why : last ? 'refused' : (why ?? 'no_server');
+      lastResult?.kind === 'lost' || lastResult?.kind === 'unsent'
+        ? lastResult.why
+        : lastResult
+          ? 'refused'
+          : (why ?? 'no_server');
     const isTimeout = ['first_byte', 'per_try', 'total', 'late'].includes(cause);
     const status = !mayHaveRun ? 503 : isTimeout ? 504 : 502;
     return { kind: 'refusal', status, why: why ?? cause, retryAfter, tries };
   };
-  const isResumed = sent > 0;
+  const isResumption = sent > 0;
   const isOver = () => plan.signal.aborted || Moment.isPast(plan.deadline);
 
-  if (sent > rule.retry.count) return verdict('attempts');
-  if (sent > 0 && isOver()) return verdict('total');
+  if (sent > rule.retry.count) return finish('attempts');
+  if (sent > 0 && isOver()) return finish('total');
   let next = choose(0, true);
   if (!next) {
     const needs = plan.pickNeeds();
-    const rests = tiers.flatMap((tier) =>
+    const restTimes = tiers.flatMap((tier) =>
       Pick.open(tier, needs).map(({ server }) => needs.ejector.restsFor(server)),
     );
-    retryAfter = rests.length > 0 ? Math.min(...rests) : 0;
-    return verdict('no_server');
+    retryAfter = restTimes.length > 0 ? Math.min(...restTimes) : 0;
+    return finish('no_server');
   }
   for (;;) {
     const isExtra = sent > 0;
     if (isExtra && !plan.budget.spend()) {
-      if (!isResumed) return verdict('budget');
-      const until = Moment.after(grantWithin);
+      if (!isResumption) return finish('budget');
+      const until = Moment.after(maxTokenWaitMs);
       do {
-        if (isOver() || Moment.isPast(until)) return verdict('budget');
+        if (isOver() || Moment.isPast(until)) return finish('budget');
         yield { kind: 'token', span: Moment.left(until) };
       } while (!plan.budget.spend());
-      const anew = choose(tierIndex, true);
-      if (!anew || (anew.index > tierIndex && hops >= rule.hops)) return verdict('no_server');
-      if (anew.index > tierIndex) hops += 1;
-      next = anew;
+      const rechosen = choose(tierIndex, true);
+      if (!rechosen || (rechosen.index > tierIndex && hops >= rule.hops)) return finish('no_server');
+      if (rechosen.index > tierIndex) hops += 1;
+      next = rechosen;
     }
     tierIndex = next.index;
     tried.add(next.pick.server.instance);
-    const trial = yield { kind: 'try', pick: next.pick, tier: tiers[tierIndex]!, hops };
-    if (!trial) return verdict();
-    plan.onTryEnd(trial, isExtra);
+    const result = yield { kind: 'try', pick: next.pick, tier: tiers[tierIndex]!, hops };
+    if (!result) return finish();
+    plan.onTryEnd(result, isExtra);
     tries += 1;
-    last = trial;
-    const isFree =
-      trial.kind === 'unsent' &&
-      (trial.pick.group.proof !== undefined || ['full', 'slow'].includes(trial.why));
-    if (!isFree) sent += 1;
-    if (trial.kind === 'stream') return { kind: 'stream', result: trial, tries, sent };
-    if (!isSurelyNotRun(trial)) mayHaveRun = true;
-    if (trial.kind === 'response') {
-      const asked = RetryAfter.parse(trial.headers);
-      if (asked !== undefined) {
-        retryAfter = Math.max(retryAfter, asked);
-        plan.pickNeeds().ejector.rest(trial.pick.server, Math.min(asked, longestRetryAfter));
+    lastResult = result;
+    const isUncharged =
+      result.kind === 'unsent' &&
+      (result.pick.group.proof !== undefined || ['full', 'slow'].includes(result.why));
+    if (!isUncharged) sent += 1;
+    if (result.kind === 'stream') return { kind: 'stream', result, tries, sent };
+    if (!isSurelyNotRun(result)) mayHaveRun = true;
+    if (result.kind === 'response') {
+      const retryAfterMs = RetryAfter.parse(result.headers);
+      if (retryAfterMs !== undefined) {
+        retryAfter = Math.max(retryAfter, retryAfterMs);
+        plan.pickNeeds().ejector.rest(result.pick.server, Math.min(retryAfterMs, maxServerRestMs));
       }
     }
-    if (isOver()) return verdict();
-    if (!isRetriable(trial, rule.retry)) return verdict();
-    if (rule.isOnce && mayHaveRun) return verdict();
-    if (isFree && tries > mostUnsent) return verdict();
-    const canRetry = isFree || retries < rule.retry.count;
+    if (isOver()) return finish();
+    if (!isRetriable(result, rule.retry)) return finish();
+    if (rule.isOnce && mayHaveRun) return finish();
+    if (isUncharged && tries > maxTriesIfUnsent) return finish();
+    const canRetry = isUncharged || retries < rule.retry.count;
     const untried = choose(canRetry ? tierIndex : tierIndex + 1, true);
     const isHop = untried !== undefined && untried.index > tierIndex;
     if (untried && (!isHop || hops < rule.hops)) {
-      if (!isFree) {
+      if (!isUncharged) {
         plan.budget.requestTokens();
         yield { kind: 'pause', span: backOff(rule.retry, retries, plan.pickNeeds().random) };
         if (!isHop) retries += 1;
       }
     } else if (canRetry) {
-      const open = Pick.open(tiers[tierIndex]!, plan.pickNeeds());
-      const rests = open.map(({ server }) => plan.pickNeeds().ejector.restsFor(server));
-      const wait = Math.max(
-        Math.min(...rests, longestRetryAfter),
+      const eligible = Pick.open(tiers[tierIndex]!, plan.pickNeeds());
+      const restTimes = eligible.map(({ server }) => plan.pickNeeds().ejector.restsFor(server));
+      const waitMs = Math.max(
+        Math.min(...restTimes, maxServerRestMs),
         backOff(rule.retry, retries, plan.pickNeeds().random),
       );
-      if (open.length === 0 || wait >= Moment.left(plan.deadline)) return verdict();
+      if (eligible.length === 0 || waitMs >= Moment.left(plan.deadline)) return finish();
       plan.budget.requestTokens();
-      yield { kind: 'pause', span: wait };
+      yield { kind: 'pause', span: waitMs };
       retries += 1;
-    } else return verdict();
-    if (isOver()) return verdict();
+    } else return finish();
+    if (isOver()) return finish();
     const chosen = choose(isHop ? tierIndex + 1 : tierIndex, true) ?? choose(tierIndex, false);
-    if (!chosen) return verdict();
-    if (chosen.index > tierIndex && hops >= rule.hops) return verdict();
+    if (!chosen) return finish();
+    if (chosen.index > tierIndex && hops >= rule.hops) return finish();
     if (chosen.index > tierIndex) hops += 1;
     next = chosen;
   }
 }
 
+/** Runs the retry loop. */
 export const Tries = {
   async run(plan: Tries.Plan): Promise<Tries> {
-    const course = decide(plan);
-    let told: UpstreamTry | undefined;
+    const loop = decide(plan);
+    let result: UpstreamTry | undefined;
     for (;;) {
-      const step = course.next(told);
+      const step = loop.next(result);
       if (step.done) return step.value;
       if (step.value.kind === 'try') {
-        if (told === undefined && plan.previous.sent === 0) plan.budget.earn();
-        told = await plan.run(step.value.pick, step.value.tier, step.value.hops);
+        if (result === undefined && plan.previous.sent === 0) plan.budget.earn();
+        result = await plan.run(step.value.pick, step.value.tier, step.value.hops);
       } else {
         const span = Math.min(step.value.span, Moment.left(plan.deadline));
         if (step.value.kind === 'token') await plan.budget.waitForToken(span, plan.signal);
--- a/src/upstream/upstream-try.ts
+++ b/src/upstream/upstream-try.ts
@@ -1,5 +1,7 @@
-// One try of one request on one server: connect and prove, then send, then wait for the response to
-// begin. How it ended is told as a tagged union that always says whether the request may have run.
+/**
+ * One try of a request on one server: obtain a connection whose identity is verified, send the request, then wait for
+ * the response to begin. The result is a tagged union that always tells whether the server may have run the request.
+ */
 import type { IncomingHttpHeaders } from 'node:http';
 import { Failure } from '../kinds/failure.js';
 import { Moment } from '../kinds/moment.js';
@@ -12,6 +14,11 @@
 import type { Pick } from './pick.js';
 import type { Pool } from './pool.js';
 
+/**
+ * The result of a try. `unsent`: no byte was sent, so the server did not run it. `lost`: sent without a usable response,
+ * so the server may have run it. `response`: a response with an error status. `stream`: a response with a status
+ * below 400 whose body is still to be read.
+ */
 export type UpstreamTry =
   | { readonly kind: 'unsent'; readonly why: UpstreamTry.Reason; readonly pick: Pick }
   | { readonly kind: 'lost'; readonly why: UpstreamTry.Reason; readonly pick: Pick }
@@ -32,7 +39,9 @@
       readonly pick: Pick;
     };
 
+/** Types of a try. */
 export declare namespace UpstreamTry {
+  /** Why a try failed. Logs and metrics contain these values. */
   type Reason =
     | 'connect'
     | 'slow'
@@ -44,61 +53,81 @@
     | 'reset'
     | 'left'
     | 'late';
+  /** Dependencies, limits and callbacks of a try. */
   type Needs = {
     readonly pool: Pool;
     readonly inFlight: InFlight;
+    /** Builds the request; `left` is the time until the deadline, in milliseconds. */
     readonly request: (left: number) => Exchange.Request;
     readonly timeouts: Document.Timeouts;
     readonly deadline: Moment;
     readonly signal: AbortSignal;
+    /** Checked immediately before sending: whether the server may still receive this request. */
     readonly isStillEligible: (pick: Pick) => boolean;
+    /** Resolves once events that queued up while the event loop was stalled, such as a disconnect, have been handled. */
     readonly settle: () => Promise<void>;
+    /** Header that matches a response to this request, if the server returns one. */
     readonly correlation: Correlation | undefined;
-    /** Connections that carried an earlier try of this request: an answer to that one may still come there. */
+    /** Connections used by earlier tries of this request, on which a late response to those may still arrive. */
     readonly usedConnections: Set<Connection>;
     readonly onSend: () => void;
+    /** Prefill work, counted in the in-flight load of the server. */
     readonly weight: number;
-    /** How long the server may be silent after the request was sent before it is suspected, in milliseconds. */
+    /** How long the server may stay silent after the request was sent before it is suspected, in milliseconds. */
     readonly suspectAfter: number;
     readonly onSuspect: () => void;
-    /** Calls back when the server is found dark, for a request that another server may run as well. */
+    /**
+     * Registers a callback for when the server is found unreachable and returns its deregistration. Set only for a request
+     * that another server may run as well.
+     */
     readonly onUnreachable?: (end: () => void) => () => void;
   };
 }
 
-const longestResponse = 256 * 1024;
-/** A connection that takes longer is left to the prover, and the request, which was not sent, goes elsewhere. */
-const slowConnect = 400;
+/** Largest body of an error response, in bytes. */
+const maxErrorBodyBytes = 256 * 1024;
+/**
+ * If connecting takes longer than this many milliseconds, the prover checks the server and the request, which was not
+ * sent, goes to another one.
+ */
+const slowConnectMs = 400;
 
-const limit = (
+/** The limit that expires first. */
+const earliest = (
   spans: readonly (readonly [UpstreamTry.Reason, number])[],
 ): readonly [UpstreamTry.Reason, number] => spans.reduce((least, one) => (one[1] < least[1] ? one : least));
 
-const whyOf = (error: unknown, other: UpstreamTry.Reason): UpstreamTry.Reason => {
-  const told = Failure.info(error).why as UpstreamTry.Reason | undefined;
-  if (told) return told;
-  return Failure.is(error, 'identity') ? 'identity' : Failure.is(error, 'connect') ? 'connect' : other;
+/** The reason attached to an error, or else the given default. */
+const reasonOf = (error: unknown, fallback: UpstreamTry.Reason): UpstreamTry.Reason => {
+  const attached = Failure.info(error).why as UpstreamTry.Reason | undefined;
+  if (attached) return attached;
+  return Failure.is(error, 'identity') ? 'identity' : Failure.is(error, 'connect') ? 'connect' : fallback;
 };
 
+/** Runs one try. */
 export const UpstreamTry = {
   async run(pick: Pick, needs: UpstreamTry.Needs): Promise<UpstreamTry> {
     const { timeouts, deadline, inFlight } = needs;
-    const cut = new AbortController();
-    const end = (why: UpstreamTry.Reason) => cut.abort(Failure.of('timeout', `ended by ${why}`, { why }));
+    const controller = new AbortController();
+    const end = (why: UpstreamTry.Reason) =>
+      controller.abort(Failure.of('timeout', `ended by ${why}`, { why }));
     const onLeave = () => end('left');
     const perTry = Moment.after(timeouts.per_try);
-    const bounds = (): (readonly [UpstreamTry.Reason, number])[] => [
+    const overallLimits = (): (readonly [UpstreamTry.Reason, number])[] => [
       ['per_try', Moment.left(perTry)],
       ['total', Moment.left(deadline)],
     ];
-    const isOpenedAtOnce = pick.group.proof !== undefined;
-    const patience: readonly [UpstreamTry.Reason, number][] = isOpenedAtOnce ? [['slow', slowConnect]] : [];
-    let [why, span] = limit([['connect', timeouts.connect], ...patience, ...bounds()]);
-    // A process that was held up hears of its connection in the same turn as of the time that is over.
-    const endSlow = () => {
+    const hasNoIdentityRequest = pick.group.proof !== undefined;
+    const connectLimits: readonly [UpstreamTry.Reason, number][] = hasNoIdentityRequest
+      ? [['slow', slowConnectMs]]
+      : [];
+    let [why, span] = earliest([['connect', timeouts.connect], ...connectLimits, ...overallLimits()]);
+    // After the process was suspended, the event loop may report the established connection in the same turn as the
+    // expired timer. Deferring the abort lets the connection win.
+    const endIfStillConnecting = () => {
       if (why === 'slow') end('slow');
     };
-    const timer = Timer.after(span, () => (why === 'slow' ? setImmediate(endSlow) : end(why)));
+    const timer = Timer.after(span, () => (why === 'slow' ? setImmediate(endIfStillConnecting) : end(why)));
     if (needs.signal.aborted) onLeave();
     needs.signal.addEventListener('abort', onLeave, { once: true });
     const job = inFlight.begin(pick.server.instance, needs.weight);
@@ -107,43 +136,43 @@
       needs.signal.removeEventListener('abort', onLeave);
       job.end();
     };
-    const mayCarry = (one: Connection) =>
-      one.mayCarry(needs.correlation !== undefined) && !needs.usedConnections.has(one);
+    const isUsable = (candidate: Connection) =>
+      candidate.mayCarry(needs.correlation !== undefined) && !needs.usedConnections.has(candidate);
     let connection: Connection;
     try {
-      connection = await needs.pool.take(pick.server, pick.group, cut.signal, mayCarry);
+      connection = await needs.pool.take(pick.server, pick.group, controller.signal, isUsable);
     } catch (error) {
       finish();
-      return { kind: 'unsent', why: cut.signal.aborted ? why : whyOf(error, 'connect'), pick };
+      return { kind: 'unsent', why: controller.signal.aborted ? why : reasonOf(error, 'connect'), pick };
     }
     needs.usedConnections.add(connection);
     await needs.settle();
-    [why, span] = limit([['first_byte', timeouts.first_byte], ...bounds()]);
+    [why, span] = earliest([['first_byte', timeouts.first_byte], ...overallLimits()]);
     timer.move(span);
-    const wait = Timer.after(needs.suspectAfter, needs.onSuspect);
-    const forget = needs.onUnreachable?.(() => end('reset'));
-    const begin = () => {
+    const suspicionTimer = Timer.after(needs.suspectAfter, needs.onSuspect);
+    const unwatch = needs.onUnreachable?.(() => end('reset'));
+    const markSent = () => {
       needs.onSend();
       return true;
     };
     const result = await connection.run(needs.request(Moment.left(deadline)), {
       isCorrelated: needs.correlation !== undefined,
-      signal: cut.signal,
+      signal: controller.signal,
       maySend: () =>
         !Moment.isPast(perTry) &&
         !Moment.isPast(deadline) &&
         !needs.signal.aborted &&
         needs.isStillEligible(pick) &&
-        begin(),
+        markSent(),
     });
-    wait.stop();
-    forget?.();
+    suspicionTimer.stop();
+    unwatch?.();
     if (result.kind === 'failure') {
       finish();
       await connection.destroy();
-      if (result.isSent) return { kind: 'lost', why: whyOf(result.cause, 'reset'), pick };
+      if (result.isSent) return { kind: 'lost', why: reasonOf(result.cause, 'reset'), pick };
       const isLate = Moment.isPast(deadline) || needs.signal.aborted || !needs.isStillEligible(pick);
-      return { kind: 'unsent', why: isLate ? 'late' : whyOf(result.cause, 'connect'), pick };
+      return { kind: 'unsent', why: isLate ? 'late' : reasonOf(result.cause, 'connect'), pick };
     }
     const { status, headers, body } = result;
     if (!Correlation.matches(needs.correlation, headers)) {
@@ -157,12 +186,12 @@
       needs.signal.removeEventListener('abort', onLeave);
       return { kind: 'stream', status, headers, body, connection, job, pick };
     }
-    const held = await body.collect(longestResponse).catch(() => undefined);
+    const errorBody = await body.collect(maxErrorBodyBytes).catch(() => undefined);
     finish();
-    if (held === undefined) await connection.destroy();
+    if (errorBody === undefined) await connection.destroy();
     else needs.pool.give(connection);
-    if (held === undefined && !pick.group.isNotRun(status, headers))
-      return { kind: 'lost', why: cut.signal.aborted ? why : 'reset', pick };
-    return { kind: 'response', status, headers, body: held ?? Buffer.alloc(0), pick };
+    if (errorBody === undefined && !pick.group.isNotRun(status, headers))
+      return { kind: 'lost', why: controller.signal.aborted ? why : 'reset', pick };
+    return { kind: 'response', status, headers, body: errorBody ?? Buffer.alloc(0), pick };
   },
 };
