--- a/src/upstream/connection.ts
+++ b/src/upstream/connection.ts
@@ -1,6 +1,7 @@
 /**
- * One connection to one instance: opened, then proved, then used for one exchange at a time. Its socket is opened once,
- * so a connection that has ended can never quietly become a new one to whoever answers at that address now.
+ * One connection to one server instance. It is opened, the identity of the server is verified, and it then carries one
+ * exchange at a time. The socket is never reopened, so a closed connection cannot silently reconnect to another server
+ * that has taken over the address.
  */
 import { connect, type Socket } from 'node:net';
 import { Address } from '../kinds/address.js';
@@ -11,31 +12,39 @@
 import { Exchange } from './exchange.js';
 import { Identity } from './identity.js';
 
-/** A connection to a server. */
+/** A verified connection to a server. */
 export type Connection = {
   readonly server: Compiled.Server;
   readonly state: () => Connection.State;
-  /** Sends the request; without a tie between it and its answer the connection carries no other after it. */
+  /**
+   * Sends the request. If no header correlates the response with it (`isCorrelated` is false), the connection is not
+   * reused afterwards.
+   */
   readonly run: (
     request: Exchange.Request,
     terms: Pick<Exchange.Options, 'maySend' | 'signal'> & { readonly isCorrelated: boolean },
   ) => Promise<Exchange>;
-  /** Whether it may carry a request that nothing ties to its answer, or else any. */
-  readonly mayCarry: (isTied: boolean) => boolean;
+  /** Whether the connection may carry another request, given whether a header correlates its response with it. */
+  readonly mayCarry: (isCorrelated: boolean) => boolean;
+  /** Returns the connection to the idle state after an exchange, or closes it if it cannot be reused. */
   readonly release: () => void;
+  /** Closes the connection; resolves once the socket is closed. */
   readonly destroy: () => Promise<void>;
-  readonly onClose: (see: () => void) => void;
+  readonly onClose: (listener: () => void) => void;
 };
 
+/** Types of a connection. */
 export declare namespace Connection {
+  /** `proving`: the identity of the server is being verified. */
   type State = 'proving' | 'idle' | 'busy' | 'closed';
 }
 
-const longestIdentity = 1024 * 1024;
-/** How long a connection rests before it is ended, in milliseconds, where its server doesn't say. */
-const longestRest = 30_000;
-/** A connection is ended this long before its server would end it, in milliseconds. */
-const restMargin = 2000;
+/** Largest identity response, in bytes. */
+const maxIdentityBytes = 1024 * 1024;
+/** Idle timeout of a connection, in milliseconds; a shorter one announced by the server takes precedence. */
+const maxIdleMs = 30_000;
+/** A connection is closed this long before the server would close it, in milliseconds. */
+const idleMarginMs = 2000;
 
 const openSocket = (server: Compiled.Server, signal: AbortSignal): Promise<Socket> =>
   new Promise((resolve, reject) => {
@@ -46,7 +55,7 @@
       reject(
         Failure.of(
           'connect',
-          `no connection to ${Address.text(server.address)}`,
+          `cannot connect to ${Address.text(server.address)}`,
           { to: server.instance },
           cause,
         ),
@@ -65,10 +74,10 @@
   });
 
 /**
- * Whether the server has ended the connection in order. A reset that comes with the last bytes looks like an orderly
- * end; writing nothing fails then.
+ * Returns a function that tells whether the server closed the connection without a reset. A reset that arrives together
+ * with the last bytes looks like a normal end of the stream; an empty write then fails and reveals it.
  */
-const watchEnd = (socket: Socket): (() => boolean) => {
+const watchCleanEnd = (socket: Socket): (() => boolean) => {
   socket.once('end', () => {
     socket.write(Buffer.alloc(0));
     setImmediate(() => socket.destroy());
@@ -76,28 +85,29 @@
   return () => socket.readableEnded && socket.errored === null;
 };
 
-/** How long a connection may rest after an answer with these headers, in milliseconds. */
-const restOf = ({ 'keep-alive': told }: Exchange.Completion['headers']): number => {
-  const seconds = /timeout=\s*(\d+)/i.exec(String(told ?? ''))?.[1];
-  return seconds === undefined ? longestRest : Math.min(longestRest, Number(seconds) * 1000 - restMargin);
+/** How long a connection may stay idle after a response with these headers, in milliseconds. */
+const idleTimeoutOf = ({ 'keep-alive': keepAlive }: Exchange.Completion['headers']): number => {
+  const seconds = /timeout=\s*(\d+)/i.exec(String(keepAlive ?? ''))?.[1];
+  return seconds === undefined ? maxIdleMs : Math.min(maxIdleMs, Number(seconds) * 1000 - idleMarginMs);
 };
 
-const prove = async (
-  line: Exchange.Transport,
+/** Requests the identity of the server and verifies it. */
+const verifyIdentity = async (
+  transport: Exchange.Transport,
   server: Compiled.Server,
   group: Compiled.Group,
   signal: AbortSignal,
-  onEnd: (kept: Exchange.Completion) => void,
+  onEnd: (completion: Exchange.Completion) => void,
 ) => {
   const response = await Exchange.run(
-    line,
+    transport,
     { method: 'GET', path: group.identity.path, headers: { accept: 'application/json' }, body: null },
     { maySend: () => true, signal, onEnd },
   );
   if (response.kind === 'failure') throw response.cause;
-  const text = (await response.body.collect(longestIdentity)).toString('utf8');
+  const text = (await response.body.collect(maxIdentityBytes)).toString('utf8');
   if (response.status !== 200)
-    throw Failure.of('connect', 'identity was not told', { status: response.status, to: server.instance });
+    throw Failure.of('connect', 'identity request failed', { status: response.status, to: server.instance });
   let body: unknown;
   try {
     body = JSON.parse(text);
@@ -109,15 +119,15 @@
 
 type State = Connection.State;
 
-/** How a connection is used: one exchange at a time, and a rest between two. */
-class Use {
+/** Tracks the use of a connection: one exchange at a time, and an idle period between two. */
+class ConnectionUse {
   readonly phase: Phase<State>;
-  readonly watchers: (() => void)[] = [];
-  private isWhole: (() => boolean) | undefined;
-  private kept: Exchange.Completion | undefined;
-  private rest: Timer | undefined;
-  private hasCarried = false;
-  private mayCarryMore = true;
+  readonly closeListeners: (() => void)[] = [];
+  private isComplete: (() => boolean) | undefined;
+  private completion: Exchange.Completion | undefined;
+  private idleTimer: Timer | undefined;
+  private hasBeenUsed = false;
+  private acceptsMore = true;
 
   constructor(private readonly socket: Socket) {
     this.phase = Phase.of<State>(
@@ -127,69 +137,73 @@
         if (to === 'closed') this.end();
       },
     );
-    // Registered before any exchange listens, so that what ends an answer is not taken for more than it.
+    // Registered before the listeners of any exchange, so that the last bytes of a response are not counted as surplus.
     socket.on('data', () => {
-      if (this.isSurplus()) socket.destroy();
+      if (this.isUnsolicitedData()) socket.destroy();
     });
   }
 
-  private isSurplus(): boolean {
+  /** Whether bytes received now belong to no response. */
+  private isUnsolicitedData(): boolean {
     if (this.phase.is('idle')) return true;
-    return this.isWhole?.() === true;
+    return this.isComplete?.() === true;
   }
 
   private end(): void {
-    this.rest?.stop();
-    for (const see of this.watchers) see();
+    this.idleTimer?.stop();
+    for (const listener of this.closeListeners) listener();
   }
 
   close(): void {
     if (!this.phase.is('closed')) this.phase.become('closed');
   }
 
-  mayCarry(isTied: boolean): boolean {
-    return this.mayCarryMore && (isTied || !this.hasCarried);
+  mayCarry(isCorrelated: boolean): boolean {
+    return this.acceptsMore && (isCorrelated || !this.hasBeenUsed);
   }
 
-  begin(isTied: boolean): void {
+  begin(isCorrelated: boolean): void {
     this.phase.become('busy');
-    this.isWhole = undefined;
-    this.kept = undefined;
-    this.hasCarried = true;
-    this.mayCarryMore = isTied;
+    this.isComplete = undefined;
+    this.completion = undefined;
+    this.hasBeenUsed = true;
+    this.acceptsMore = isCorrelated;
   }
 
-  readonly onHead = (isWhole: () => boolean): void => {
-    this.isWhole = isWhole;
+  readonly onHead = (isComplete: () => boolean): void => {
+    this.isComplete = isComplete;
   };
 
-  readonly onEnd = (kept: Exchange.Completion): void => {
-    this.kept = kept;
+  readonly onEnd = (completion: Exchange.Completion): void => {
+    this.completion = completion;
   };
 
-  /** Whether another exchange may follow the last one, for the time that the connection rests. */
-  settle(): boolean {
-    const { kept, socket } = this;
-    // After an early answer the server may never read the rest, and whatever came next would wait behind it.
-    if (!kept?.isReusable || socket.destroyed || socket.writableLength > 0) return false;
-    const span = restOf(kept.headers);
+  /** Starts the idle timer; returns false if the connection cannot be reused. */
+  startIdle(): boolean {
+    const { completion, socket } = this;
+    // After a response that arrived before the request was fully written, the server may never read the remaining bytes,
+    // and the next request would wait behind them.
+    if (!completion?.isReusable || socket.destroyed || socket.writableLength > 0) return false;
+    const span = idleTimeoutOf(completion.headers);
     if (span <= 0) return false;
-    this.isWhole = undefined;
-    this.rest?.stop();
-    this.rest = Timer.after(span, () => {
+    this.isComplete = undefined;
+    this.idleTimer?.stop();
+    this.idleTimer = Timer.after(span, () => {
       if (this.phase.is('idle')) socket.destroy();
     });
     return true;
   }
 }
 
+/** Opens connections. */
 export const Connection = {
+  /** Connects and verifies the identity of the server, unless each request of the group names its instance (`proof`). */
   async open(server: Compiled.Server, group: Compiled.Group, signal: AbortSignal): Promise<Connection> {
     const socket = await openSocket(server, signal);
-    const line = Exchange.transport(socket, Address.text(server.address), watchEnd(socket));
-    const use = new Use(socket);
+    const transport = Exchange.transport(socket, Address.text(server.address), watchCleanEnd(socket));
+    const use = new ConnectionUse(socket);
     const { phase } = use;
-    const gone = new Promise<void>((resolve) => {
+    const closed = new Promise<void>((resolve) => {
       socket.once('close', () => {
         use.close();
         resolve();
@@ -198,41 +212,46 @@
     const destroy = () => {
       use.close();
       socket.destroy();
-      return gone;
+      return closed;
     };
     try {
-      if (!group.proof) await prove(line, server, group, signal, use.onEnd);
+      if (!group.proof) await verifyIdentity(transport, server, group, signal, use.onEnd);
     } catch (error) {
       await destroy();
       throw Failure.is(error, 'identity')
         ? error
-        : Failure.of('connect', 'identity was not proved', { to: server.instance }, error);
+        : Failure.of('connect', 'server identity could not be verified', { to: server.instance }, error);
     }
-    const isOpen = !phase.is('closed') && (group.proof !== undefined || use.settle());
+    const isOpen = !phase.is('closed') && (group.proof !== undefined || use.startIdle());
     if (!isOpen) {
       await destroy();
-      throw Failure.of('connect', 'the connection has ended');
+      throw Failure.of('connect', 'connection not reusable after identity verification');
     }
     phase.become('idle');
     return {
       server,
       state: () => phase.state,
-      mayCarry: (isTied) => use.mayCarry(isTied),
+      mayCarry: (isCorrelated) => use.mayCarry(isCorrelated),
       destroy,
-      onClose: (see) => void use.watchers.push(see),
-      run(request, { isCorrelated: isTied, maySend, signal: cut }) {
+      onClose: (listener) => void use.closeListeners.push(listener),
+      run(request, { isCorrelated, maySend, signal: exchangeSignal }) {
         if (!phase.is('idle') || socket.destroyed)
           return Promise.resolve({
             kind: 'failure',
             isSent: false,
-            cause: Failure.of('connect', `the connection is ${phase.state}`),
+            cause: Failure.of('connect', `connection is ${phase.state}`),
           });
-        use.begin(isTied);
-        return Exchange.run(line, request, { maySend, signal: cut, onHead: use.onHead, onEnd: use.onEnd });
+        use.begin(isCorrelated);
+        return Exchange.run(transport, request, {
+          maySend,
+          signal: exchangeSignal,
+          onHead: use.onHead,
+          onEnd: use.onEnd,
+        });
       },
       release() {
         if (!phase.is('busy')) return;
-        if (use.settle()) phase.become('idle');
+        if (use.startIdle()) phase.become('idle');
         else void destroy();
       },
     };
--- a/src/upstream/exchange.ts
+++ b/src/upstream/exchange.ts
@@ -1,7 +1,7 @@
 /**
- * One exchange over one connection: the request is handed to the socket, and either a head comes back with a body to
- * read, or a failure that says whether any byte of the request may have left. The check given runs at the very moment
- * of sending: when it says no, nothing is written.
+ * One HTTP/1.1 exchange over one connection. The result is either a response head with a body to read, or a failure that
+ * tells whether any byte of the request may have been sent. `maySend` is evaluated immediately before sending; if it
+ * returns false, nothing is written.
  */
 import {
   Agent,
@@ -13,7 +13,7 @@
 import type { Socket } from 'node:net';
 import { Failure } from '../kinds/failure.js';
 
-/** What came of an exchange. */
+/** The result of an exchange. */
 export type Exchange =
   | {
       readonly kind: 'head';
@@ -23,125 +23,132 @@
     }
   | { readonly kind: 'failure'; readonly isSent: boolean; readonly cause: Error };
 
+/** Types of an exchange. */
 export declare namespace Exchange {
+  /** The request to send; `host`, `connection` and `content-length` are added as needed. */
   type Request = {
     readonly method: string;
     readonly path: string;
     readonly headers: Readonly<Record<string, string>>;
     readonly body: Buffer | null;
   };
+  /** Receives a response body. `write` returns false to pause the body until `resume` is called. */
   type Sink = {
     readonly write: (chunk: Buffer) => boolean;
     readonly end: () => void;
     readonly fail: (cause: Error) => void;
   };
+  /** A response body that has not been read yet. */
   type Body = {
     readonly pump: (sink: Sink) => { readonly resume: () => void };
-    readonly collect: (longest: number) => Promise<Buffer>;
+    /** Reads the whole body into memory; fails if it is longer than `maxBytes`. */
+    readonly collect: (maxBytes: number) => Promise<Buffer>;
     readonly abort: (cause: Error) => void;
   };
-  /** The connection as an exchange sees it. */
+  /** What an exchange needs of its connection. */
   type Transport = {
     readonly socket: Socket;
-    /** Host and port, for a request that names no host. */
+    /** Host and port, used as the Host header of a request without one. */
     readonly authority: string;
-    /** Whether the server has ended the connection in order, and has not reset it. */
+    /** Whether the server closed the connection with a FIN and did not reset it. */
     readonly hasEndedCleanly: () => boolean;
     readonly agent: Agent;
   };
-  /** What the end of an answer says about its connection. */
+  /** What a completed response says about the reuse of its connection. */
   type Completion = {
-    /** Whether another exchange may follow. */
+    /** Whether the connection may be used for another exchange. */
     readonly isReusable: boolean;
     readonly headers: IncomingHttpHeaders;
   };
+  /** Conditions and callbacks of one exchange. */
   type Options = {
     readonly maySend: () => boolean;
     readonly signal: AbortSignal;
-    /** Called once the answer has begun, with a question that tells whether all of it has arrived. */
-    readonly onHead?: (isWhole: () => boolean) => void;
-    /** Called when the whole answer has been read. */
-    readonly onEnd?: (kept: Completion) => void;
+    /** Called when the response head arrives, with a function that tells whether the whole response has arrived. */
+    readonly onHead?: (isComplete: () => boolean) => void;
+    /** Called when the whole response has been read. */
+    readonly onEnd?: (completion: Completion) => void;
   };
 }
 
-const longestHead = 32 * 1024;
+const maxResponseHeadBytes = 32 * 1024;
 
 const hasNoBody = (method: string, status: number): boolean =>
   method === 'HEAD' || status === 204 || status === 304;
 
-/** Whether an answer is delimited by nothing but the end of its connection. */
-const lastsToEnd = (method: string, { statusCode = 0, headers }: IncomingMessage): boolean =>
+/** Whether the response body is delimited only by the close of the connection. */
+const isDelimitedByClose = (method: string, { statusCode = 0, headers }: IncomingMessage): boolean =>
   !hasNoBody(method, statusCode) &&
   headers['content-length'] === undefined &&
   !/chunked\s*$/i.test(headers['transfer-encoding'] ?? '');
 
-const mayHaveBody = new Set(['POST', 'PUT', 'PATCH']);
+const methodsWithBody = new Set(['POST', 'PUT', 'PATCH']);
 
-/** Names and values in turn, as they go on the wire. */
-const headersOf = ({ method, headers, body }: Exchange.Request, authority: string): string[] => {
+/** Header names and values alternately, in the order in which they are sent. */
+const buildHeaders = ({ method, headers, body }: Exchange.Request, authority: string): string[] => {
   const list: string[] = [];
   if (headers.host === undefined) list.push('host', authority);
   for (const name in headers) list.push(name, headers[name]!);
   list.push('connection', 'keep-alive');
   if (body) list.push('content-length', String(body.length));
-  else if (mayHaveBody.has(method)) list.push('content-length', '0');
+  else if (methodsWithBody.has(method)) list.push('content-length', '0');
   return list;
 };
 
-/** Gives each request the one connection that it was made for, and keeps none. */
-class LineAgent extends Agent {
+/** An agent that runs every request on the same socket and never opens or pools one. */
+class SingleSocketAgent extends Agent {
   constructor(private readonly socket: Socket) {
     super({ keepAlive: true });
   }
 
-  addRequest(asked: ClientRequest): void {
-    asked.onSocket(this.socket);
+  addRequest(request: ClientRequest): void {
+    request.onSocket(this.socket);
   }
 }
 
-const open = ({ agent, authority }: Exchange.Transport, asked: Exchange.Request): ClientRequest =>
+const createRequest = ({ agent, authority }: Exchange.Transport, outgoing: Exchange.Request): ClientRequest =>
   request({
-    method: asked.method,
-    path: asked.path,
-    headers: headersOf(asked, authority),
-    maxHeaderSize: longestHead,
+    method: outgoing.method,
+    path: outgoing.path,
+    headers: buildHeaders(outgoing, authority),
+    maxHeaderSize: maxResponseHeadBytes,
     agent,
   });
 
-type Ways = { readonly onWhole: () => void; readonly abort: (cause: Error) => void };
+/** Callbacks from a response body to its exchange. */
+type BodyCallbacks = { readonly onBodyEnd: () => void; readonly abort: (cause: Error) => void };
 
-/** The body of an answer, read by one sink. It waits in its stream until there is one. */
-class AnswerBody implements Exchange.Body {
+/** A response body, read by a single sink. It stays in the stream until a sink is attached. */
+class ResponseBody implements Exchange.Body {
   private sink: Exchange.Sink | undefined;
   private cause: Error | undefined;
 
   constructor(
-    private readonly answer: IncomingMessage,
-    private readonly ways: Ways,
+    private readonly response: IncomingMessage,
+    private readonly callbacks: BodyCallbacks,
   ) {}
 
   pump(sink: Exchange.Sink): { readonly resume: () => void } {
-    const { answer, ways } = this;
+    const { response, callbacks } = this;
     this.sink = sink;
     if (this.cause) sink.fail(this.cause);
     else {
-      answer.once('end', ways.onWhole);
-      answer.on('data', (chunk: Buffer) => {
-        if (!this.cause && !sink.write(chunk)) answer.pause();
+      response.once('end', callbacks.onBodyEnd);
+      response.on('data', (chunk: Buffer) => {
+        if (!this.cause && !sink.write(chunk)) response.pause();
       });
     }
-    return { resume: () => void answer.resume() };
+    return { resume: () => void response.resume() };
   }
 
-  collect(longest: number): Promise<Buffer> {
+  collect(maxBytes: number): Promise<Buffer> {
     return new Promise((resolve, reject) => {
       const chunks: Buffer[] = [];
       let length = 0;
       this.pump({
         write: (chunk) => {
           length += chunk.length;
-          if (length > longest) this.abort(Failure.of('reset', 'body too long'));
+          if (length > maxBytes) this.abort(Failure.of('reset', 'response body too long'));
           else chunks.push(chunk);
           return true;
         },
@@ -152,7 +159,7 @@
   }
 
   abort(cause: Error): void {
-    this.ways.abort(cause);
+    this.callbacks.abort(cause);
   }
 
   end(): void {
@@ -165,28 +172,34 @@
   }
 }
 
-class Running {
+/** The state of one exchange. */
+class RunningExchange {
   private isSent = false;
-  private isOver = false;
-  private answer: IncomingMessage | undefined;
-  private body: AnswerBody | undefined;
-  private sent: ClientRequest | undefined;
+  private isFinished = false;
+  private response: IncomingMessage | undefined;
+  private body: ResponseBody | undefined;
+  private sentRequest: ClientRequest | undefined;
 
   constructor(
-    private readonly line: Exchange.Transport,
-    private readonly asked: Exchange.Request,
-    private readonly terms: Exchange.Options,
+    private readonly transport: Exchange.Transport,
+    private readonly outgoing: Exchange.Request,
+    private readonly options: Exchange.Options,
     private readonly resolve: (exchange: Exchange) => void,
   ) {}
 
   start(): void {
-    const { signal, maySend } = this.terms;
+    const { signal, maySend } = this.options;
     if (signal.aborted) {
       this.fail(signal.reason as Error);
       return;
     }
     if (!maySend()) {
-      this.fail(Failure.of('left', 'not sent: its time or its client was gone'));
+      this.fail(
+        Failure.of(
+          'left',
+          'request not sent: deadline passed, client disconnected or server no longer eligible',
+        ),
+      );
       return;
     }
     signal.addEventListener('abort', this.onAbort, { once: true });
@@ -198,82 +211,90 @@
   }
 
   private send(): void {
-    const sent = open(this.line, this.asked);
+    const clientRequest = createRequest(this.transport, this.outgoing);
     this.isSent = true;
-    this.sent = sent;
-    sent.on('error', this.onError);
-    sent.once('close', this.onClose);
-    sent.once('response', this.onResponse);
-    sent.end(this.asked.body ?? undefined);
+    this.sentRequest = clientRequest;
+    clientRequest.on('error', this.onError);
+    clientRequest.once('close', this.onClose);
+    clientRequest.once('response', this.onResponse);
+    clientRequest.end(this.outgoing.body ?? undefined);
   }
 
-  private readonly onAbort = (): void => this.fail(this.terms.signal.reason as Error);
+  private readonly onAbort = (): void => this.fail(this.options.signal.reason as Error);
 
-  /** What happens to the connection does not matter to an answer that is here whole. */
+  /** A connection error does not affect a response that has already arrived completely. */
   private readonly onError = (cause: Error): void => {
-    if (!this.answer?.complete) this.fail(cause);
+    if (!this.response?.complete) this.fail(cause);
   };
 
   private readonly onClose = (): void => {
-    if (!this.answer?.complete) this.fail(Failure.of('reset', 'the connection has ended'));
+    if (!this.response?.complete)
+      this.fail(Failure.of('reset', 'connection closed before the response was complete'));
   };
 
-  private readonly onResponse = (answer: IncomingMessage): void => {
-    this.answer = answer;
-    answer.on('error', this.onError);
-    this.body = new AnswerBody(answer, {
-      onWhole: this.onWhole,
+  private readonly onResponse = (response: IncomingMessage): void => {
+    this.response = response;
+    response.on('error', this.onError);
+    this.body = new ResponseBody(response, {
+      onBodyEnd: this.onBodyEnd,
       abort: (cause) => this.fail(cause),
     });
-    this.terms.onHead?.(() => answer.complete);
+    this.options.onHead?.(() => response.complete);
     this.resolve({
       kind: 'head',
-      status: answer.statusCode ?? 0,
-      headers: answer.headers,
+      status: response.statusCode ?? 0,
+      headers: response.headers,
       body: this.body,
     });
   };
 
-  private readonly onWhole = (): void => {
-    const { answer, asked, line } = this;
-    const isWhole = answer?.complete && (!lastsToEnd(asked.method, answer) || line.hasEndedCleanly());
-    if (isWhole) this.end();
-    else this.fail(Failure.of('reset', 'an answer was cut'));
+  private readonly onBodyEnd = (): void => {
+    const { response, outgoing, transport } = this;
+    const isComplete =
+      response?.complete && (!isDelimitedByClose(outgoing.method, response) || transport.hasEndedCleanly());
+    if (isComplete) this.end();
+    else this.fail(Failure.of('reset', 'response truncated'));
   };
 
   private end(): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     this.finish();
-    const { sent, answer } = this;
-    this.terms.onEnd?.({
-      isReusable: sent?.shouldKeepAlive === true && sent.writableFinished,
-      headers: answer?.headers ?? {},
+    const { sentRequest, response } = this;
+    this.options.onEnd?.({
+      isReusable: sentRequest?.shouldKeepAlive === true && sentRequest.writableFinished,
+      headers: response?.headers ?? {},
     });
     this.body?.end();
   }
 
   private finish(): void {
-    this.isOver = true;
-    this.terms.signal.removeEventListener('abort', this.onAbort);
+    this.isFinished = true;
+    this.options.signal.removeEventListener('abort', this.onAbort);
   }
 
   private fail(cause: Error): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     this.finish();
-    this.line.socket.destroy();
+    this.transport.socket.destroy();
     if (this.body) this.body.fail(cause);
     else this.resolve({ kind: 'failure', isSent: this.isSent, cause });
   }
 }
 
+/** Runs exchanges on an open socket. */
 export const Exchange = {
-  /** A connection made ready for exchanges. */
+  /** Prepares an open socket for exchanges. */
   transport: (socket: Socket, authority: string, isOrderly: () => boolean): Exchange.Transport => ({
     socket,
     authority,
     hasEndedCleanly: isOrderly,
-    agent: new LineAgent(socket),
+    agent: new SingleSocketAgent(socket),
   }),
-  run: (line: Exchange.Transport, asked: Exchange.Request, terms: Exchange.Options): Promise<Exchange> =>
-    new Promise((resolve) => new Running(line, asked, terms, resolve).start()),
+  /** Runs one exchange. It never rejects: errors before the head are a `failure`, later ones fail the body. */
+  run: (
+    transport: Exchange.Transport,
+    outgoing: Exchange.Request,
+    options: Exchange.Options,
+  ): Promise<Exchange> =>
+    new Promise((resolve) => new RunningExchange(transport, outgoing, options, resolve).start()),
 };
