--- a/src/upstream/budget.ts
+++ b/src/upstream/budget.ts
@@ -1,112 +1,138 @@
-// Tokens for extra tries at one proxy. Each real request earns a fifth of one, every try beyond a
-// request's first spends a whole one, and none is ever made in another way, so that over all nodes
-// together extra tries stay below a fifth of real requests. What this proxy has no use for goes to the
-// pool; one token is topped up from it, and a try that finds none asks for more; one that takes up a broken stream
-// waits a little for it. Grants from below the epoch it has seen are dropped. Beside the earned ones the operator may allow so many tries in any window over all
-// proxies whatever was asked: each proxy spends its even part of a portion of those, by the most proxies it ever knew
-// of, so that restarts and cuts leave the sum below the whole. A part below one is one try in a longer window, as long
-// as one from every proxy at once stays within half of what is allowed. While a proxy still learns of others, it
-// spends none, since its part would be too large.
+/**
+ * Retry budget of one proxy. Each real request earns a fifth of a token and each try after the first costs a whole
+ * one. No token is created in any other way, so across all proxies the tokens allow extra tries for less than a fifth
+ * of the requests. A proxy keeps a reserve of one token and passes surplus tokens to a shared pool, from which it
+ * refills the reserve. A try that finds no token requests more; the resumption of a broken stream waits briefly for
+ * them. Grants from an epoch older than the newest one seen are ignored.
+ *
+ * In addition, operators may allow a fixed number of extra tries per window, summed over all proxies and regardless of
+ * the traffic. Each proxy uses an even share of a part of that number, computed from the highest number of proxies it has
+ * ever known, so that the sum stays below the limit despite restarts and network partitions. A share below one is one try
+ * in a correspondingly longer window, provided that one try from every proxy at once stays within half of the limit. While
+ * a proxy is still discovering others it uses no share, because the share would be too large.
+ */
 import { Purse } from '../duty/purse.js';
 import { Moment } from '../kinds/moment.js';
 import { Timer } from '../kinds/timer.js';
 
+/** The retry budget of one proxy. */
 export type Budget = {
+  /** Credits a fifth of a token for one request. */
   readonly earn: () => void;
+  /** Takes one token, or one try of the fixed allowance; returns false if neither is available. */
   readonly spend: () => boolean;
+  /** Requests tokens from the pool if none is held and the last request is not too recent. */
   readonly requestTokens: () => void;
-  /** Resolves once a token is held, and without one after the span; asks the pool meanwhile. */
+  /** Resolves once a token is held, or after `span` milliseconds or an abort without one; requests tokens from the pool meanwhile. */
   readonly waitForToken: (span: number, signal: AbortSignal) => Promise<void>;
+  /** Number of tokens held, including fractions. */
   readonly held: () => number;
+  /** Adds tokens from the pool; a grant from an old epoch is ignored. */
   readonly grant: (epoch: number, batches: readonly Purse.Batch[]) => void;
+  /** Periodic work: refills the reserve from the pool or passes the surplus to it. */
   readonly maintain: () => void;
 };
 
+/** Types of the retry budget. */
 export declare namespace Budget {
+  /** Extra tries that all proxies together may make per window (in milliseconds), without earning them. */
   type Allowance = { readonly tries: number; readonly window: number; readonly proxies: () => number };
 }
 
-const whole = 1000;
-const earned = 200;
-const reserve = whole;
-/** How much longer a token must stay good to count as reserve, in milliseconds: a try may wait so long before it fails. */
-const reserveLasts = 2000;
-const least = 250;
-const asked = 3 * whole;
-const askAgainAfter = 50;
-const portion = 0.35;
-const mostAtOnce = 0.5;
-const settledAfter = 2000;
+/** Token amounts are counted in thousandths, so that fifths add up exactly. */
+const oneToken = 1000;
+/** Earned by each request, in thousandths of a token. */
+const earnedPerRequest = 200;
+const reserve = oneToken;
+/**
+ * Remaining lifetime that a token needs to count toward the reserve, in milliseconds: a try may take this long before it
+ * fails and a token is needed.
+ */
+const minReserveLifetimeMs = 2000;
+/** Smallest amount exchanged with the pool, in thousandths of a token. */
+const minTransfer = 250;
+/** Smallest amount requested when a try finds no token, in thousandths of a token. */
+const minRequest = 3 * oneToken;
+/** Minimum interval between two requests to the pool, in milliseconds. */
+const requestIntervalMs = 50;
+/** Fraction of the fixed allowance that the shares of all proxies add up to. */
+const allowanceFraction = 0.35;
+/** Fraction of the fixed allowance that one try from every proxy at once may reach. */
+const maxSimultaneousFraction = 0.5;
+/** How long the highest known number of proxies must be unchanged before a share is used, in milliseconds. */
+const settledAfterMs = 2000;
 
+/** Creates retry budgets. */
 export const Budget = {
+  /** `send` transmits surplus batches and the requested amount to the pool; it returns false if it cannot. */
   of(
     send: (batches: readonly Purse.Batch[], wanted: number) => boolean = () => false,
     allowance?: Budget.Allowance,
   ): Budget {
-    let most = 0;
-    let grewAt = Moment.past;
-    let spent: Moment[] = [];
-    const know = () => {
+    let maxProxies = 0;
+    let maxProxiesChangedAt = Moment.past;
+    let allowedTriesAt: Moment[] = [];
+    const updateMaxProxies = () => {
       const now = allowance?.proxies() ?? 0;
-      if (now <= most) return;
-      most = now;
-      grewAt = Moment.now();
+      if (now <= maxProxies) return;
+      maxProxies = now;
+      maxProxiesChangedAt = Moment.now();
     };
-    const spendAllowed = (): boolean => {
+    const spendAllowance = (): boolean => {
       if (!allowance) return false;
-      know();
-      if (most === 0 || Moment.since(grewAt) < settledAfter) return false;
-      const part = (allowance.tries * portion) / most;
-      if (part < 1 && most > allowance.tries * mostAtOnce) return false;
-      const window = allowance.window / Math.min(1, part);
-      spent = spent.filter((at) => Moment.since(at) < window);
-      if (spent.length >= Math.max(1, Math.floor(part))) return false;
-      spent.push(Moment.now());
+      updateMaxProxies();
+      if (maxProxies === 0 || Moment.since(maxProxiesChangedAt) < settledAfterMs) return false;
+      const share = (allowance.tries * allowanceFraction) / maxProxies;
+      if (share < 1 && maxProxies > allowance.tries * maxSimultaneousFraction) return false;
+      const window = allowance.window / Math.min(1, share);
+      allowedTriesAt = allowedTriesAt.filter((at) => Moment.since(at) < window);
+      if (allowedTriesAt.length >= Math.max(1, Math.floor(share))) return false;
+      allowedTriesAt.push(Moment.now());
       return true;
     };
     const purse = Purse.of();
     let epoch = 0;
-    let askedAt = 0 as Moment;
-    let waiting = 0;
-    const wakes = new Set<() => void>();
-    const isHeld = () => purse.total() >= whole;
-    const want = () => {
-      if (isHeld() || Moment.since(askedAt) < askAgainAfter) return;
-      askedAt = Moment.now();
-      send([], Math.max(asked, waiting * whole));
+    let requestedAt = 0 as Moment;
+    let waiters = 0;
+    const wakeCallbacks = new Set<() => void>();
+    const hasToken = () => purse.total() >= oneToken;
+    const requestTokens = () => {
+      if (hasToken() || Moment.since(requestedAt) < requestIntervalMs) return;
+      requestedAt = Moment.now();
+      send([], Math.max(minRequest, waiters * oneToken));
     };
     return {
-      held: () => purse.total() / whole,
-      earn: () => purse.add([{ amount: earned, age: 0 }]),
-      spend: () => purse.take(whole) !== undefined || spendAllowed(),
-      requestTokens: want,
+      held: () => purse.total() / oneToken,
+      earn: () => purse.add([{ amount: earnedPerRequest, age: 0 }]),
+      spend: () => purse.take(oneToken) !== undefined || spendAllowance(),
+      requestTokens,
       async waitForToken(span, signal) {
         const until = Moment.after(span);
-        waiting += 1;
-        while (!isHeld() && !Moment.isPast(until) && !signal.aborted) {
-          want();
-          const rest = new AbortController();
-          const wake = () => rest.abort();
-          wakes.add(wake);
+        waiters += 1;
+        while (!hasToken() && !Moment.isPast(until) && !signal.aborted) {
+          requestTokens();
+          const pauseController = new AbortController();
+          const wake = () => pauseController.abort();
+          wakeCallbacks.add(wake);
           signal.addEventListener('abort', wake, { once: true });
-          await Timer.pause(Math.min(askAgainAfter, Moment.left(until)), rest.signal);
+          await Timer.pause(Math.min(requestIntervalMs, Moment.left(until)), pauseController.signal);
           signal.removeEventListener('abort', wake);
-          wakes.delete(wake);
+          wakeCallbacks.delete(wake);
         }
-        waiting -= 1;
+        waiters -= 1;
       },
       grant(from, batches) {
         if (from < epoch) return;
         epoch = from;
         purse.add(batches);
-        for (const wake of [...wakes]) wake();
+        for (const wake of [...wakeCallbacks]) wake();
       },
       maintain() {
-        know();
+        updateMaxProxies();
         const missing = reserve - purse.total();
-        if (missing >= least) send([], missing);
-        const surplus = purse.total(reserveLasts) - reserve;
-        if (surplus < least) return;
+        if (missing >= minTransfer) send([], missing);
+        const surplus = purse.total(minReserveLifetimeMs) - reserve;
+        if (surplus < minTransfer) return;
         const batches = purse.take(surplus, true);
         if (batches && !send(batches, 0)) purse.add(batches);
       },
--- a/tools/experiment/policies.ts
+++ b/tools/experiment/policies.ts
@@ -33,10 +33,14 @@
   'no ejection': [change('ejector', 'health.failures += 1;', 'return;')],
   'no bound for warming servers': [change('warmup', 'if (!group.warmup ||', 'if (group.warmup ||')],
   'no extra tries': [
-    change('budget', 'spend: () => purse.take(whole) !== undefined || spendAllowed()', 'spend: () => false'),
+    change(
+      'budget',
+      'spend: () => purse.take(oneToken) !== undefined || spendAllowance()',
+      'spend: () => false',
+    ),
     // Who waits for a token would else be told at once that there is one, and ask again without an end.
-    change('budget', 'purse.total() >= whole;', 'false;'),
-    change('budget', 'held: () => purse.total() / whole', 'held: () => 0'),
+    change('budget', 'purse.total() >= oneToken;', 'false;'),
+    change('budget', 'held: () => purse.total() / oneToken', 'held: () => 0'),
   ],
   'pending requests wait for a dark server': [change('prover', 'watchers.tell(server.instance);', '')],
   'no word of dark servers': [change('prover', 'hear(instance) {', 'hear(instance) { if (instance) return;')],
