--- a/test/answering-server.ts
+++ b/test/answering-server.ts
@@ -1,29 +1,31 @@
-// Servers of tests that answer whatever a test says, and how many connections came to them.
+/** HTTP servers for tests that answer with a given handler and count the connections made to them. */
 import { once } from 'node:events';
 import { createServer, type RequestListener } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
+/** A running server: its `host:port` and the number of connections accepted so far. */
 export type AnsweringServer = { readonly address: string; readonly connections: () => number };
 
-const ends: (() => void)[] = [];
+const cleanups: (() => void)[] = [];
 
+/** Starts and stops test servers. */
 export const AnsweringServer = {
-  async start(answer: RequestListener): Promise<AnsweringServer> {
+  async start(handler: RequestListener): Promise<AnsweringServer> {
     let connections = 0;
-    const server = createServer(answer);
+    const server = createServer(handler);
     server.on('connection', () => {
       connections += 1;
     });
     server.listen(0, '127.0.0.1');
     await once(server, 'listening');
-    ends.push(() => {
+    cleanups.push(() => {
       server.close();
       server.closeAllConnections();
     });
     return { address: `127.0.0.1:${(server.address() as AddressInfo).port}`, connections: () => connections };
   },
-  /** Ends all that were started. */
+  /** Stops all servers that were started. */
   end(): void {
-    for (const end of ends.splice(0)) end();
+    for (const cleanup of cleanups.splice(0)) cleanup();
   },
 };
--- a/test/budget-reserve.test.ts
+++ b/test/budget-reserve.test.ts
@@ -1,27 +1,30 @@
-// The reserve of tokens that a proxy keeps: fresh ones replace those that soon expire before any are passed on, and a
-// token exists once whatever is kept, passed on or expired.
+/**
+ * The token reserve of a proxy: fresh tokens replace those about to expire before any are passed on, and each token
+ * exists only once, whether it is kept, passed on or expired.
+ */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, describe, it } from 'node:test';
 import { Purse } from '../src/duty/purse.js';
 import { Budget } from '../src/upstream/budget.js';
 import { ManualClock } from './manual-clock.js';
 
-const earned = 200;
-const whole = 1000;
+const earnedPerRequest = 200;
+/** In thousandths of a token, as in the budget. */
+const oneToken = 1000;
 
-describe('the reserve of tokens', () => {
+describe('token reserve', () => {
   let clock: ManualClock;
   let passedOn: number;
-  let asked: number;
+  let requestedAmount: number;
   let budget: Budget;
 
   beforeEach(() => {
     clock = ManualClock.install();
     passedOn = 0;
-    asked = 0;
+    requestedAmount = 0;
     budget = Budget.of((batches, wanted) => {
       for (const batch of batches) passedOn += batch.amount;
-      asked += wanted;
+      requestedAmount += wanted;
       return true;
     });
   });
@@ -30,7 +33,7 @@
     for (let index = 0; index < count; index += 1) budget.earn();
   };
 
-  it('keeps fresh tokens in place of those that expire while a try waits', () => {
+  it('keeps fresh tokens instead of those that expire during a try', () => {
     earn(5);
     clock.pass(Purse.lifetime - 1000);
     earn(12);
@@ -39,41 +42,41 @@
     assert.equal(budget.spend(), true);
   });
 
-  it('passes on all that is beyond a reserve that lasts, the newest first', () => {
+  it('passes on everything beyond a reserve of long-lived tokens, newest first', () => {
     earn(5);
     clock.pass(1000);
     earn(12);
     budget.maintain();
-    assert.equal(passedOn, 12 * earned);
+    assert.equal(passedOn, 12 * earnedPerRequest);
     clock.pass(Purse.lifetime - 1000 + 1);
     assert.equal(budget.held(), 0);
   });
 
-  it('asks for what is missing of the reserve, and not while it holds one', () => {
+  it('requests only what is missing from the reserve', () => {
     earn(5);
     clock.pass(Purse.lifetime - 1000);
     budget.maintain();
-    assert.equal(asked, 0);
+    assert.equal(requestedAmount, 0);
     clock.pass(1001);
     budget.maintain();
-    assert.equal(asked, whole);
+    assert.equal(requestedAmount, oneToken);
   });
 
-  it('holds a token under steady requests but for the second after it spent one, and spends and passes on no more than was earned', () => {
-    let earnedInAll = 0;
+  it('holds a token under steady requests except for a second after spending one, and never spends and passes on more than was earned', () => {
+    let earnedTotal = 0;
     let spent = 0;
-    let turnsWithout = 0;
+    let turnsWithoutToken = 0;
     for (let turn = 0; turn < 400; turn += 1) {
       earn(2);
-      earnedInAll += 2 * earned;
+      earnedTotal += 2 * earnedPerRequest;
       budget.maintain();
-      if (turn > 2 && budget.held() < 1) turnsWithout += 1;
-      if (turn % 40 === 39 && budget.spend()) spent += whole;
+      if (turn > 2 && budget.held() < 1) turnsWithoutToken += 1;
+      if (turn % 40 === 39 && budget.spend()) spent += oneToken;
       clock.pass(500);
     }
-    assert.equal(spent, 10 * whole);
-    assert.ok(turnsWithout <= 2 * 10, `${turnsWithout} turns without a token`);
-    assert.ok(spent + passedOn + budget.held() * whole <= earnedInAll);
+    assert.equal(spent, 10 * oneToken);
+    assert.ok(turnsWithoutToken <= 2 * 10, `${turnsWithoutToken} turns without a token`);
+    assert.ok(spent + passedOn + budget.held() * oneToken <= earnedTotal);
     assert.ok(passedOn > 0);
   });
 });
--- a/test/connection.test.ts
+++ b/test/connection.test.ts
@@ -1,5 +1,7 @@
-// One connection to a server that writes raw bytes: what is read as a whole answer, and when the connection may carry
-// another request.
+/**
+ * A connection to a server that writes raw bytes: which responses count as complete, and when the connection may be
+ * reused.
+ */
 import assert from 'node:assert/strict';
 import type { Socket } from 'node:net';
 import { afterEach, describe, it } from 'node:test';
@@ -11,50 +13,50 @@
 import { RawHttp } from '../tools/fuzz/raw-http.js';
 
 const group = { name: 'g', proof: { header: 'target-instance' } } as unknown as Compiled.Group;
-const never = new AbortController().signal;
-const ends: (() => Promise<unknown>)[] = [];
+const neverAborted = new AbortController().signal;
+const cleanups: (() => Promise<unknown>)[] = [];
 
 afterEach(async () => {
-  for (const end of ends.splice(0).reverse()) await end();
+  for (const cleanup of cleanups.splice(0).reverse()) await cleanup();
 });
 
-/** A connection to a server that hands each whole request to the script. */
-const meet = async (script: (socket: Socket, request: RawHttp.Request) => void) => {
+/** Opens a connection to a server that passes each complete request to the script. */
+const openTo = async (script: (socket: Socket, request: RawHttp.Request) => void) => {
   const server = await Lab.listen((socket) =>
     RawHttp.readRequests(socket, (request) => script(socket, request)),
   );
-  ends.push(server.stop);
+  cleanups.push(server.stop);
   const [host, port] = server.address.split(':');
-  const told = { instance: 'i', group: 'g', address: { host, port: Number(port) } };
-  const connection = await Connection.open(told as unknown as Compiled.Server, group, never);
-  ends.push(connection.destroy);
+  const listed = { instance: 'i', group: 'g', address: { host, port: Number(port) } };
+  const connection = await Connection.open(listed as unknown as Compiled.Server, group, neverAborted);
+  cleanups.push(connection.destroy);
   const isClosed = new Promise<void>((resolve) => connection.onClose(resolve));
   return { connection, isClosed, sockets: server.sockets };
 };
 
-const asked = (more: Partial<Exchange.Request> = {}): Exchange.Request => ({
+const requestOf = (overrides: Partial<Exchange.Request> = {}): Exchange.Request => ({
   method: 'POST',
   path: '/a?b=c',
   headers: { host: 'h.example', 'attempt-id': 't1' },
-  body: Buffer.from('asked'),
-  ...more,
+  body: Buffer.from('request body'),
+  ...overrides,
 });
 
-const send = async (connection: Connection, request = asked(), signal = never) => {
-  const came = await connection.run(request, { isCorrelated: true, maySend: () => true, signal });
-  if (came.kind === 'failure') return came;
-  const body = await came.body.collect(1e6).then(String, (error: Error) => error);
+const send = async (connection: Connection, request = requestOf(), signal = neverAborted) => {
+  const result = await connection.run(request, { isCorrelated: true, maySend: () => true, signal });
+  if (result.kind === 'failure') return result;
+  const body = await result.body.collect(1e6).then(String, (error: Error) => error);
   connection.release();
-  return { kind: 'answer' as const, status: came.status, body };
+  return { kind: 'answer' as const, status: result.status, body };
 };
 
-const chunked = (pieces: readonly string[]): string =>
-  RawHttp.answer(200, { 'transfer-encoding': 'chunked' }) + pieces.map(RawHttp.chunk).join('');
+const chunked = (parts: readonly string[]): string =>
+  RawHttp.answer(200, { 'transfer-encoding': 'chunked' }) + parts.map(RawHttp.chunk).join('');
 
 describe('a connection to a server', () => {
-  it('carries one request after another, as they were given', async () => {
+  it('sends consecutive requests unchanged', async () => {
     const seen: RawHttp.Request[] = [];
-    const { connection } = await meet((socket, request) => {
+    const { connection } = await openTo((socket, request) => {
       seen.push(request);
       socket.write(RawHttp.answer(200, {}, `answer ${seen.length}`));
     });
@@ -62,31 +64,35 @@
       assert.deepEqual(await send(connection), { kind: 'answer', status: 200, body: `answer ${count}` });
     assert.deepEqual(
       seen.map(({ method, target, body, headers }) => [method, target, body, headers['attempt-id']]),
-      [1, 2, 3].map(() => ['POST', '/a?b=c', 'asked', 't1']),
+      [1, 2, 3].map(() => ['POST', '/a?b=c', 'request body', 't1']),
     );
     assert.equal(connection.state(), 'idle');
   });
-  it('names its server where the request names no host', async () => {
-    let told: string | undefined;
-    const { connection } = await meet((socket, { headers }) => {
-      told = headers.host;
+  it('sends the address of the server as Host if the request has none', async () => {
+    let host: string | undefined;
+    const { connection } = await openTo((socket, { headers }) => {
+      host = headers.host;
       socket.write(RawHttp.answer(200, {}, ''));
     });
-    await send(connection, asked({ headers: {} }));
-    assert.match(String(told), /^127\.0\.0\.1:\d+$/);
+    await send(connection, requestOf({ headers: {} }));
+    assert.match(String(host), /^127\.0\.0\.1:\d+$/);
   });
-  it('sends nothing when the look at the moment of sending says no', async () => {
-    const { connection } = await meet(() => assert.fail('a request came'));
-    const came = await connection.run(asked(), { isCorrelated: true, maySend: () => false, signal: never });
-    assert.deepEqual([came.kind, 'isSent' in came && came.isSent], ['failure', false]);
+  it('sends nothing if maySend returns false', async () => {
+    const { connection } = await openTo(() => assert.fail('unexpected request'));
+    const result = await connection.run(requestOf(), {
+      isCorrelated: true,
+      maySend: () => false,
+      signal: neverAborted,
+    });
+    assert.deepEqual([result.kind, 'isSent' in result && result.isSent], ['failure', false]);
   });
-  it('says that a request without an answer was sent', async () => {
-    const { connection } = await meet((socket) => socket.destroy());
-    const came = await send(connection);
-    assert.deepEqual([came.kind, 'isSent' in came && came.isSent], ['failure', true]);
+  it('reports a request without a response as sent', async () => {
+    const { connection } = await openTo((socket) => socket.destroy());
+    const result = await send(connection);
+    assert.deepEqual([result.kind, 'isSent' in result && result.isSent], ['failure', true]);
   });
-  it('ends when bytes come at rest', async () => {
-    const { connection, isClosed, sockets } = await meet((socket) =>
+  it('closes when bytes arrive while it is idle', async () => {
+    const { connection, isClosed, sockets } = await openTo((socket) =>
       socket.write(RawHttp.answer(200, {}, 'mine')),
     );
     await send(connection);
@@ -94,32 +100,32 @@
     await isClosed;
     assert.equal(connection.state(), 'closed');
   });
-  it('is not kept when more comes with an answer than the answer', async () => {
-    const { connection, isClosed } = await meet((socket) =>
+  it('is not reused if surplus bytes follow a response', async () => {
+    const { connection, isClosed } = await openTo((socket) =>
       socket.write(RawHttp.answer(200, {}, 'mine') + RawHttp.answer(200, {}, 'of another')),
     );
     assert.deepEqual(await send(connection), { kind: 'answer', status: 200, body: 'mine' });
     await isClosed;
   });
-  it('is not kept after an answer that came before its request was written', async () => {
-    const { connection, isClosed, sockets } = await meet(() => {});
-    const running = connection.run(asked({ body: Buffer.alloc(64 * 1024 * 1024) }), {
+  it('is not reused after a response that arrived before the request was fully written', async () => {
+    const { connection, isClosed, sockets } = await openTo(() => {});
+    const running = connection.run(requestOf({ body: Buffer.alloc(64 * 1024 * 1024) }), {
       isCorrelated: true,
       maySend: () => true,
-      signal: never,
+      signal: neverAborted,
     });
     for (const socket of sockets) {
       socket.pause();
       socket.write(RawHttp.answer(413, {}, 'long'));
     }
-    const came = await running;
-    assert.ok(came.kind === 'head');
-    assert.equal(String(await came.body.collect(100)), 'long');
+    const result = await running;
+    assert.ok(result.kind === 'head');
+    assert.equal(String(await result.body.collect(100)), 'long');
     connection.release();
     await isClosed;
   });
-  it('rests as long as its server says, less a margin, and then ends', async () => {
-    const { connection, isClosed } = await meet((socket) =>
+  it('stays idle for the time announced by the server, less a margin, and then closes', async () => {
+    const { connection, isClosed } = await openTo((socket) =>
       socket.write(RawHttp.answer(200, { 'keep-alive': 'timeout=3' }, 'mine')),
     );
     await send(connection);
@@ -128,51 +134,51 @@
     await isClosed;
     assert.ok(performance.now() - began > 900);
   });
-  it('does not rest at all where the margin is all that its server grants', async () => {
-    const { connection, isClosed } = await meet((socket) =>
+  it('is not reused if the announced idle time does not exceed the margin', async () => {
+    const { connection, isClosed } = await openTo((socket) =>
       socket.write(RawHttp.answer(200, { 'keep-alive': 'timeout=2' }, 'mine')),
     );
     await send(connection);
     await isClosed;
   });
-  it('takes an answer for whole that is whole, though its connection is reset behind it', async () => {
-    const { connection } = await meet((socket) => {
+  it('accepts a complete response although the connection is reset right after it', async () => {
+    const { connection } = await openTo((socket) => {
       socket.write(RawHttp.answer(200, {}, 'mine'), () => Reset.now(socket));
     });
     assert.deepEqual(await send(connection), { kind: 'answer', status: 200, body: 'mine' });
   });
   for (const [name, end] of [
-    ['ends in order', (socket: Socket) => void socket.end()],
+    ['is closed', (socket: Socket) => void socket.end()],
     ['is reset', (socket: Socket) => Reset.now(socket)],
   ] as const)
-    it(`takes a chunked answer for cut whose connection ${name} before its last chunk`, async () => {
-      const { connection } = await meet((socket) => {
+    it(`reports a chunked response as truncated if the connection ${name} before the last chunk`, async () => {
+      const { connection } = await openTo((socket) => {
         socket.write(chunked(['half']), () => end(socket));
       });
-      const came = await send(connection);
-      assert.ok('body' in came && came.body instanceof Error);
+      const result = await send(connection);
+      assert.ok('body' in result && result.body instanceof Error);
     });
-  it('takes an answer without a length for whole only where its connection ended in order', async () => {
-    for (const [end, isWhole] of [
+  it('accepts a response without a length only if the connection was closed without a reset', async () => {
+    for (const [end, isComplete] of [
       [(socket: Socket) => void socket.end(), true],
       [(socket: Socket) => Reset.now(socket), false],
     ] as const) {
-      const { connection } = await meet((socket) => {
+      const { connection } = await openTo((socket) => {
         socket.write('HTTP/1.1 200 OK\r\n\r\nall', () => end(socket));
       });
-      const came = await send(connection);
-      if (isWhole) assert.deepEqual(came, { kind: 'answer', status: 200, body: 'all' });
-      else assert.ok(came.kind === 'failure' || came.body instanceof Error);
+      const result = await send(connection);
+      if (isComplete) assert.deepEqual(result, { kind: 'answer', status: 200, body: 'all' });
+      else assert.ok(result.kind === 'failure' || result.body instanceof Error);
     }
   });
-  it('gives an answer up when its signal says so, and is not kept', async () => {
-    const { connection, isClosed } = await meet((socket) => socket.write(chunked(['half'])));
-    const cut = new AbortController();
-    const running = send(connection, asked(), cut.signal);
-    setTimeout(() => cut.abort(new Error('given up')), 50);
-    const came = await running;
-    assert.ok('body' in came && came.body instanceof Error);
-    assert.match(String(came.body), /given up/);
+  it('aborts a response on its signal and is not reused', async () => {
+    const { connection, isClosed } = await openTo((socket) => socket.write(chunked(['half'])));
+    const controller = new AbortController();
+    const running = send(connection, requestOf(), controller.signal);
+    setTimeout(() => controller.abort(new Error('aborted by the test')), 50);
+    const result = await running;
+    assert.ok('body' in result && result.body instanceof Error);
+    assert.match(String(result.body), /aborted by the test/);
     await connection.destroy();
     await isClosed;
   });
