--- a/src/upstream/budget.ts
+++ b/src/upstream/budget.ts
@@ -1,15 +1,15 @@
 /**
- * Retry budget of one proxy. Each real request earns a fifth of a token and each try after the first costs a whole
- * one. No token is created in any other way, so across all proxies the tokens allow extra tries for less than a fifth
- * of the requests. A proxy keeps a reserve of one token and passes surplus tokens to a shared pool, from which it
- * refills the reserve. A try that finds no token requests more; the resumption of a broken stream waits briefly for
- * them. Grants from an epoch older than the newest one seen are ignored.
+ * Retry budget of one proxy. Each real request earns a fifth of a token and each try after the first costs a whole one.
+ * No token is created in any other way, so across all proxies the tokens allow extra tries for less than a fifth of the
+ * requests. A proxy keeps a reserve of one token and passes surplus tokens to a shared pool, from which it refills the
+ * reserve. A try that finds no token requests more; the resumption of a broken stream waits briefly for them. Grants
+ * from an epoch older than the newest one seen are ignored.
  *
  * In addition, operators may allow a fixed number of extra tries per window, summed over all proxies and regardless of
- * the traffic. Each proxy uses an even share of a part of that number, computed from the highest number of proxies it has
- * ever known, so that the sum stays below the limit despite restarts and network partitions. A share below one is one try
- * in a correspondingly longer window, provided that one try from every proxy at once stays within half of the limit. While
- * a proxy is still discovering others it uses no share, because the share would be too large.
+ * the traffic. Each proxy uses an even share of a part of that number, computed from the highest number of proxies it
+ * has ever known, so that the sum stays below the limit despite restarts and network partitions. A share below one is
+ * one try in a correspondingly longer window, provided that one try from every proxy at once stays within half of the
+ * limit. While a proxy is still discovering others it uses no share, because the share would be too large.
  */
 import { Purse } from '../duty/purse.js';
 import { Moment } from '../kinds/moment.js';
@@ -23,7 +23,10 @@
   readonly spend: () => boolean;
   /** Requests tokens from the pool if none is held and the last request is not too recent. */
   readonly requestTokens: () => void;
-  /** Resolves once a token is held, or after `span` milliseconds or an abort without one; requests tokens from the pool meanwhile. */
+  /**
+   * Resolves once a token is held, or after `span` milliseconds or an abort without one; requests tokens from the pool
+   * meanwhile.
+   */
   readonly waitForToken: (span: number, signal: AbortSignal) => Promise<void>;
   /** Number of tokens held, including fractions. */
   readonly held: () => number;
@@ -45,8 +48,8 @@
 const earnedPerRequest = 200;
 const reserve = oneToken;
 /**
- * Remaining lifetime that a token needs to count toward the reserve, in milliseconds: a try may take this long before it
- * fails and a token is needed.
+ * Remaining lifetime that a token needs to count toward the reserve, in milliseconds: a try may take this long before
+ * it fails and a token is needed.
  */
 const minReserveLifetimeMs = 2000;
 /** Smallest amount exchanged with the pool, in thousandths of a token. */
--- a/src/upstream/connection.ts
+++ b/src/upstream/connection.ts
@@ -181,8 +181,8 @@
   /** Starts the idle timer; returns false if the connection cannot be reused. */
   startIdle(): boolean {
     const { completion, socket } = this;
-    // After a response that arrived before the request was fully written, the server may never read the remaining bytes,
-    // and the next request would wait behind them.
+    // After a response that arrived before the request was fully written, the server may never read the remaining
+    // bytes, and the next request would wait behind them.
     if (!completion?.isReusable || socket.destroyed || socket.writableLength > 0) return false;
     const span = idleTimeoutOf(completion.headers);
     if (span <= 0) return false;
@@ -197,7 +197,9 @@
 
 /** Opens connections. */
 export const Connection = {
-  /** Connects and verifies the identity of the server, unless each request of the group names its instance (`proof`). */
+  /**
+   * Connects and verifies the identity of the server, unless each request of the group names its instance (`proof`).
+   */
   async open(server: Compiled.Server, group: Compiled.Group, signal: AbortSignal): Promise<Connection> {
     const socket = await openSocket(server, signal);
     const transport = Exchange.transport(socket, Address.text(server.address), watchCleanEnd(socket));
--- a/src/upstream/exchange.ts
+++ b/src/upstream/exchange.ts
@@ -1,7 +1,7 @@
 /**
- * One HTTP/1.1 exchange over one connection. The result is either a response head with a body to read, or a failure that
- * tells whether any byte of the request may have been sent. `maySend` is evaluated immediately before sending; if it
- * returns false, nothing is written.
+ * One HTTP/1.1 exchange over one connection. The result is either a response head with a body to read, or a failure
+ * that tells whether any byte of the request may have been sent. `maySend` is evaluated immediately before sending; if
+ * it returns false, nothing is written.
  */
 import {
   Agent,
--- a/src/upstream/in-flight.ts
+++ b/src/upstream/in-flight.ts
@@ -1,6 +1,6 @@
 /**
- * In-flight load that this node puts on each server. Prefill (prompts whose response has not begun) and decode (responses
- * being streamed) load a server differently and are counted separately.
+ * In-flight load that this node puts on each server. Prefill (prompts whose response has not begun) and decode
+ * (responses being streamed) load a server differently and are counted separately.
  */
 
 /** In-flight load by server. */
--- a/src/upstream/retry-after.ts
+++ b/src/upstream/retry-after.ts
@@ -14,7 +14,9 @@
     const span = Date.parse(value) - Date.parse(headers.date ?? '');
     return Number.isFinite(span) && span >= 0 ? span : undefined;
   },
-  /** Whole seconds, at least 1, with up to 100 percent of random delay so that clients do not retry at the same time. */
+  /**
+   * Whole seconds, at least 1, with up to 100 percent of random delay so that clients do not retry at the same time.
+   */
   format: (span: number, random: () => number): string =>
     String(Math.max(1, Math.ceil((Math.max(span, 1000) * (1 + random())) / 1000))),
 };
--- a/src/upstream/tries.ts
+++ b/src/upstream/tries.ts
@@ -1,9 +1,9 @@
 /**
- * The retry loop of one request. The generator `decide` yields the next step (send a try, pause, wait for a retry token),
- * is resumed with the result of that step and returns the final result; `Tries.run` performs the steps. A request whose
- * rule forbids a second execution (`isOnce`) is retried only if the server certainly did not run it. Once the
- * request has been sent, every further try costs a retry token, and one deadline and one hop limit apply to all tries together. A request without a token
- * fails at once; only the resumption of a broken stream waits for one.
+ * The retry loop of one request. The generator `decide` yields the next step (send a try, pause, wait for a retry
+ * token), is resumed with the result of that step and returns the final result; `Tries.run` performs the steps. A
+ * request whose rule forbids a second execution (`isOnce`) is retried only if the server certainly did not run it. Once
+ * the request has been sent, every further try costs a retry token, and one deadline and one hop limit apply to all
+ * tries together. A request without a token fails at once; only the resumption of a broken stream waits for one.
  */
 import { match } from 'ts-pattern';
 import type { Ident } from '../kinds/ident.js';
--- a/src/upstream/upstream-try.ts
+++ b/src/upstream/upstream-try.ts
@@ -15,9 +15,9 @@
 import type { Pool } from './pool.js';
 
 /**
- * The result of a try. `unsent`: no byte was sent, so the server did not run it. `lost`: sent without a usable response,
- * so the server may have run it. `response`: a response with an error status. `stream`: a response with a status
- * below 400 whose body is still to be read.
+ * The result of a try. `unsent`: no byte was sent, so the server did not run it. `lost`: sent without a usable
+ * response, so the server may have run it. `response`: a response with an error status. `stream`: a response with a
+ * status below 400 whose body is still to be read.
  */
 export type UpstreamTry =
   | { readonly kind: 'unsent'; readonly why: UpstreamTry.Reason; readonly pick: Pick }
@@ -64,7 +64,9 @@
     readonly signal: AbortSignal;
     /** Checked immediately before sending: whether the server may still receive this request. */
     readonly isStillEligible: (pick: Pick) => boolean;
-    /** Resolves once events that queued up while the event loop was stalled, such as a disconnect, have been handled. */
+    /**
+     * Resolves once events that queued up while the event loop was stalled, such as a disconnect, have been handled.
+     */
     readonly settle: () => Promise<void>;
     /** Header that matches a response to this request, if the server returns one. */
     readonly correlation: Correlation | undefined;
@@ -77,8 +79,8 @@
     readonly suspectAfter: number;
     readonly onSuspect: () => void;
     /**
-     * Registers a callback for when the server is found unreachable and returns its deregistration. Set only for a request
-     * that another server may run as well.
+     * Registers a callback for when the server is found unreachable and returns its deregistration. Set only for a
+     * request that another server may run as well.
      */
     readonly onUnreachable?: (end: () => void) => () => void;
   };
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -1,6 +1,6 @@
 /**
- * The retry budget across all proxies: a proxy can spend tokens that another one earned, each token exists only once, and
- * extra tries stay below a fifth of the real requests regardless of the number of proxies and failures.
+ * The retry budget across all proxies: a proxy can spend tokens that another one earned, each token exists only once,
+ * and extra tries stay below a fifth of the real requests regardless of the number of proxies and failures.
  */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
--- a/test/draining.test.ts
+++ b/test/draining.test.ts
@@ -1,6 +1,6 @@
 /**
- * Graceful shutdown of a proxy: it reports not ready at once, still serves new requests but closes each connection after
- * the response, stops listening after the linger period, lets running streams finish and then exits.
+ * Graceful shutdown of a proxy: it reports not ready at once, still serves new requests but closes each connection
+ * after the response, stops listening after the linger period, lets running streams finish and then exits.
  */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
