--- a/src/proxy/filters/commit.ts
+++ b/src/proxy/filters/commit.ts
@@ -2,8 +2,8 @@
 import { match } from 'ts-pattern';
 import { Instant } from '../../common/instant.js';
 import { Stamp } from '../../common/stamp.js';
-import type { Trial } from '../../upstream/trial.js';
 import type { Tries } from '../../upstream/tries.js';
+import type { UpstreamTry } from '../../upstream/upstream-try.js';
 import { Call } from '../call.js';
 import type { Filter } from '../filter.js';
 import { Hygiene } from '../hygiene.js';
@@ -17,19 +17,19 @@
 type Answered = Extract<Tries, { kind: 'response' }>;
 type Streamed = Extract<Tries, { kind: 'stream' }>;
 
-const why: Partial<Record<Tries.Why, string>> = {
+const why: Partial<Record<Tries.Reason, string>> = {
   no_server: 'no server may run this request just now',
   budget: 'the share of extra tries is used up',
   refused: 'the servers tried refused it',
   total: 'the request ran out of time',
 };
 
-const publicCodes: Partial<Record<Tries.Why, string>> = { refused: 'dropped' };
+const publicCodes: Partial<Record<Tries.Reason, string>> = { refused: 'dropped' };
 
 const count = (needs: Filter.Needs, call: Call, outcome: string): void =>
   needs.meters.requests.inc({ rule: Call.need(call, 'rule').name, outcome });
 
-const nameServer = (call: Call, { pick }: Trial, tries: number): Readonly<Record<string, string>> =>
+const nameServer = (call: Call, { pick }: UpstreamTry, tries: number): Readonly<Record<string, string>> =>
   call.dialect.down({
     id: call.id,
     group: pick.group.name,
@@ -53,7 +53,7 @@
   });
 };
 
-const answer = (needs: Filter.Needs, call: Call, { trial, tries }: Answered): Filter.Step => {
+const answer = (needs: Filter.Needs, call: Call, { result: trial, tries }: Answered): Filter.Step => {
   const { outgoing, dialect } = call;
   if (Call.need(call, 'rule').isOnce && dialect.promises.has(trial.status)) {
     count(needs, call, 'response_no_promise');
@@ -77,7 +77,7 @@
 };
 
 const stream = async (needs: Filter.Needs, call: Call, streamed: Streamed): Promise<Filter.Step> => {
-  const { trial, tries, sent } = streamed;
+  const { result: trial, tries, sent } = streamed;
   if (call.outgoing.destroyed) {
     await StreamAnswer.discard(trial);
     count(needs, call, 'client_left');
--- a/src/proxy/stream-answer.ts
+++ b/src/proxy/stream-answer.ts
@@ -7,7 +7,7 @@
 import type { ServerResponse } from 'node:http';
 import { Instant } from '../common/instant.js';
 import { Suspicion } from '../upstream/suspicion.js';
-import type { Trial } from '../upstream/trial.js';
+import type { UpstreamTry } from '../upstream/upstream-try.js';
 import { Call } from './call.js';
 import { Chunks } from './chunks.js';
 import { Events } from './events.js';
@@ -19,7 +19,7 @@
 /** An answer that has begun. */
 export type StreamAnswer = { readonly pass: () => Promise<StreamPump> };
 
-type Streamed = Extract<Trial, { kind: 'stream' }>;
+type Streamed = Extract<UpstreamTry, { kind: 'stream' }>;
 type Headers = Readonly<Record<string, string>>;
 
 /** Servers stop by themselves when the time that they were told is over; this long after it they are cut. */
@@ -134,11 +134,11 @@
     const verdict = await call.resume(events.last(), this.sent);
     if (verdict.kind !== 'stream') return false;
     this.sent = verdict.sent;
-    if (call.outgoing.destroyed || verdict.trial.status !== 200 || !isEventStream(verdict.trial)) {
-      await discard(verdict.trial);
+    if (call.outgoing.destroyed || verdict.result.status !== 200 || !isEventStream(verdict.result)) {
+      await discard(verdict.result);
       return false;
     }
-    this.trial = verdict.trial;
+    this.trial = verdict.result;
     return true;
   }
 }
