--- a/src/proxy/chunks.ts
+++ b/src/proxy/body-writer.ts
@@ -5,7 +5,7 @@
 import type { ServerResponse } from 'node:http';
 
 /** Writes the body of an answer whose head has gone out. */
-export type Chunks = {
+export type BodyWriter = {
   readonly write: (chunk: Buffer) => boolean;
   readonly end: (last: Buffer | undefined, done: () => void) => void;
   /** Whether an answer that breaks off now shows that it isn't whole. */
@@ -25,9 +25,9 @@
 };
 
 /** The framing of answers. */
-export const Chunks = {
+export const BodyWriter = {
   /** Takes over the framing where the answer is chunked; any other is written as it is. */
-  of(outgoing: ServerResponse): Chunks {
+  of(outgoing: ServerResponse): BodyWriter {
     if (!outgoing.chunkedEncoding)
       return {
         isDelimited: outgoing.hasHeader('content-length'),
--- a/src/proxy/walled.ts
+++ b/src/proxy/cache-salt.ts
@@ -3,11 +3,11 @@
 import type { Wall } from '../manifest/wall.js';
 import type { Call } from './call.js';
 
-export type Walled = { readonly body: Buffer | null };
+export type CacheSalt = { readonly body: Buffer | null };
 
-export const Walled = {
+export const CacheSalt = {
   /** A body that no salt can be written into. */
-  hasForeignBody: ({ body, prompt }: Call): boolean =>
+  hasOpaqueBody: ({ body, prompt }: Call): boolean =>
     body !== undefined && body.length > 0 && prompt?.json === undefined,
   body({ wall, body, prompt, compiled }: Call, model: string | undefined, way: Wall.Way | undefined) {
     const json = prompt?.json;
--- a/src/proxy/call.ts
+++ b/src/proxy/call.ts
@@ -12,35 +12,35 @@
 /** A request and what is known of it. */
 export type Call = {
   readonly id: Ident.Request;
-  readonly arrived: Moment;
+  readonly arrivedAt: Moment;
   readonly incoming: IncomingMessage;
   readonly outgoing: ServerResponse;
   readonly method: string;
   /** The path of the target as the caller wrote it, without the query. */
   readonly path: string;
   /** Aborted when the caller has left before its answer ended. */
-  readonly left: AbortSignal;
+  readonly clientAbort: AbortSignal;
   readonly dialect: Dialect;
-  readonly asked: Dialect.Asked;
+  readonly requestInfo: Dialect.RequestInfo;
   compiled?: Compiled;
   team?: Compiled.Team;
   wall?: Wall | undefined;
   body?: Buffer;
   prompt?: Prompt;
   /** The rules that its path, host, method and headers fit, in order. */
-  like?: readonly Compiled.Rule[];
+  candidateRules?: readonly Compiled.Rule[];
   rule?: Compiled.Rule;
   timeouts?: Document.Timeouts;
   regions?: readonly Ident.Region[];
   deadline?: Moment;
   /** Gives back what the call was charged. */
   refund?: () => void;
-  verdict?: Tries;
+  attemptResult?: Tries;
   resume?: (after: string | undefined, tries: number) => Promise<Tries>;
 };
 
 export const Call = {
-  need<K extends keyof Call>(call: Call, key: K): NonNullable<Call[K]> {
+  require<K extends keyof Call>(call: Call, key: K): NonNullable<Call[K]> {
     const value = call[key];
     if (value === undefined || value === null) throw new Error(`the call has no ${key} yet`);
     return value as NonNullable<Call[K]>;
--- a/src/proxy/dialect.ts
+++ b/src/proxy/dialect.ts
@@ -7,54 +7,54 @@
 import type { Tie } from '../upstream/tie.js';
 
 export type Dialect = {
-  readonly read: (headers: IncomingHttpHeaders) => Dialect.Asked;
+  readonly parse: (headers: IncomingHttpHeaders) => Dialect.RequestInfo;
   readonly isKept: (name: string) => boolean;
   /** Headers that go on though the sender lists them among those of one connection. */
   readonly isNeeded: (name: string) => boolean;
-  readonly up: (told: Dialect.Told) => Readonly<Record<string, string>>;
+  readonly requestHeaders: (told: Dialect.AttemptInfo) => Readonly<Record<string, string>>;
   /** What a server of the group sends back with its answer to the request, if anything. */
-  readonly tie: (asked: Dialect.Asked, group: Compiled.Group) => Tie | undefined;
-  readonly down: (served: Dialect.Served) => Readonly<Record<string, string>>;
-  readonly own: (answer: Dialect.Own) => {
+  readonly tie: (asked: Dialect.RequestInfo, group: Compiled.Group) => Tie | undefined;
+  readonly responseHeaders: (served: Dialect.ResponseInfo) => Readonly<Record<string, string>>;
+  readonly errorResponse: (answer: Dialect.ErrorInfo) => {
     readonly status: number;
     readonly headers: Readonly<Record<string, string>>;
     readonly body: object;
   };
   /** Whether the time of a request also ends an answer that has begun. */
-  readonly endsAnswers: boolean;
+  readonly deadlineEndsResponses: boolean;
   /** Statuses by which a caller is promised that its request did not run and never will. */
-  readonly promises: ReadonlySet<number>;
+  readonly notRunStatuses: ReadonlySet<number>;
   /** Whether model and prompt are read from an OpenAI-style body, and the key from the usual headers. */
   readonly isOpenAi: boolean;
 };
 
 export declare namespace Dialect {
   type Part = { readonly key: string; readonly tokens: number };
-  type Asked = {
+  type RequestInfo = {
     readonly id: Ident.Request;
     /** The id in the caller's own words, as servers get it. */
-    readonly sent: string | undefined;
-    readonly left: number | undefined;
+    readonly clientRequestId: string | undefined;
+    readonly timeLeft: number | undefined;
     readonly model: string | undefined;
-    readonly tokens: { readonly read: number; readonly made: number } | undefined;
+    readonly tokens: { readonly input: number; readonly output: number } | undefined;
     readonly parts: readonly Part[];
-    readonly after: string | undefined;
+    readonly lastEventId: string | undefined;
   };
-  type Told = {
+  type AttemptInfo = {
     readonly id: string;
-    readonly left: number;
+    readonly timeLeft: number;
     readonly hops: number;
     readonly priority: number | undefined;
-    readonly after: string | undefined;
+    readonly lastEventId: string | undefined;
   };
-  type Served = {
+  type ResponseInfo = {
     readonly id: string;
     readonly group: string;
     readonly region: string;
     readonly tries: number;
     readonly stamp: string;
   };
-  type Own = {
+  type ErrorInfo = {
     readonly id: string;
     readonly status: number;
     readonly code: string;
@@ -79,34 +79,34 @@
 /** The product's own words: headers that begin with bramblebend-, errors as OpenAI writes them. */
 export const Dialect: Dialect = {
   isOpenAi: true,
-  endsAnswers: false,
-  promises: new Set([503]),
-  read: (headers) => ({
+  deadlineEndsResponses: false,
+  notRunStatuses: new Set([503]),
+  parse: (headers) => ({
     id: Ident.request(),
-    sent: undefined,
-    left: undefined,
+    clientRequestId: undefined,
+    timeLeft: undefined,
     model: undefined,
     tokens: undefined,
     parts: [],
-    after: Array.isArray(headers[lastEventId]) ? headers[lastEventId][0] : headers[lastEventId],
+    lastEventId: Array.isArray(headers[lastEventId]) ? headers[lastEventId][0] : headers[lastEventId],
   }),
   isKept: (name) => !notUp.has(name),
   isNeeded: () => false,
-  up: ({ id, left, hops, after }) => ({
+  requestHeaders: ({ id, timeLeft: left, hops, lastEventId: after }) => ({
     'bramblebend-request-id': id,
     'bramblebend-time-left': String(Math.max(0, Math.floor(left))),
     'bramblebend-hops': String(hops),
     ...(after === undefined ? {} : { [lastEventId]: after }),
   }),
   tie: ({ id }, { echo }) => (echo === undefined ? undefined : { header: echo, value: id }),
-  down: ({ id, group, region, tries, stamp }) => ({
+  responseHeaders: ({ id, group, region, tries, stamp }) => ({
     'bramblebend-request-id': id,
     'bramblebend-group': group,
     'bramblebend-region': region,
     'bramblebend-tries': String(tries),
     'bramblebend-stamp': stamp,
   }),
-  own({ id, status, code, text, ran, tries, stamp, retryAfter }) {
+  errorResponse({ id, status, code, text, ran, tries, stamp, retryAfter }) {
     const type = types[status] ?? (status < 500 ? 'invalid_request_error' : 'api_error');
     return {
       status,
--- a/src/proxy/events.ts
+++ b/src/proxy/event-splitter.ts
@@ -1,12 +1,12 @@
 // Whole events out of the bytes of an event stream. Only whole events are let through, so that a stream that
 // breaks in the middle of one can be taken up after the last that the caller has; events that the caller has
 // already are left out. After an event that has content and no id nobody can tell where to go on.
-export type Events = {
-  readonly take: (chunk: Buffer) => Buffer | undefined;
-  readonly last: () => string | undefined;
+export type EventSplitter = {
+  readonly push: (chunk: Buffer) => Buffer | undefined;
+  readonly lastId: () => string | undefined;
   readonly canResume: () => boolean;
-  readonly restart: () => void;
-  readonly rest: () => Buffer | undefined;
+  readonly reset: () => void;
+  readonly remainder: () => Buffer | undefined;
 };
 
 const idOf = (event: string): string | undefined => /^id:[ ]?(.*)$/m.exec(event)?.[1]?.trim();
@@ -25,19 +25,19 @@
   return carriage < 0 || (plain >= 0 && plain < carriage) ? plain + 2 : carriage + 4;
 };
 
-export const Events = {
-  of(first?: string): Events {
+export const EventSplitter = {
+  of(first?: string): EventSplitter {
     let held: Buffer = Buffer.alloc(0);
     let last = first;
     let canResume = true;
     return {
-      last: () => last,
+      lastId: () => last,
       canResume: () => canResume,
-      restart() {
+      reset() {
         held = Buffer.alloc(0);
       },
-      rest: () => (held.length > 0 ? held : undefined),
-      take(chunk) {
+      remainder: () => (held.length > 0 ? held : undefined),
+      push(chunk) {
         held = held.length > 0 ? Buffer.concat([held, chunk]) : chunk;
         const whole: Buffer[] = [];
         let start = 0;
--- a/src/proxy/filter.ts
+++ b/src/proxy/filter.ts
@@ -26,11 +26,11 @@
 export declare namespace Filter {
   /** Whether the call has been answered, or goes on to the next filter. */
   type Step = 'answered' | 'next';
-  type Needs = {
+  type Dependencies = {
     readonly compiled: () => Compiled | undefined;
     readonly firstManifest: FirstManifest;
     readonly active: () => number;
-    readonly concurrent: number;
+    readonly maxConcurrent: number;
     readonly dialect: Dialect;
     readonly zone: string;
     readonly pool: Pool;
--- a/src/proxy/filters/admit.ts
+++ b/src/proxy/filters/admit.ts
@@ -68,10 +68,10 @@
 const noWall = Responses.unavailable('no_wall', 'the wall around this tenant can’t be told');
 
 /** Finds whose call it is, or says why it is refused. */
-const identify = (needs: Filter.Needs, call: Call): Responses | undefined => {
+const identify = (needs: Filter.Dependencies, call: Call): Responses | undefined => {
   const compiled = needs.compiled();
   if (!compiled) return noManifest;
-  if (needs.active() > needs.concurrent) return crowded;
+  if (needs.active() > needs.maxConcurrent) return crowded;
   const key = call.dialect.isOpenAi ? readKey(call.incoming.headers) : undefined;
   const team = key === undefined ? compiled.openTeam : compiled.findTeam(key);
   if (!team) return noKey;
@@ -87,7 +87,7 @@
 
 /** What is known of the prompt; undefined where the body should be a JSON object and is none. */
 const promptOf = (call: Call, body: Buffer): Prompt | undefined => {
-  const { dialect, asked, path, incoming } = call;
+  const { dialect, requestInfo: asked, path, incoming } = call;
   if (!dialect.isOpenAi) {
     const shared = asked.parts.slice(0, -1).map((part) => part.key);
     return { model: asked.model, key: shared.length > 0 ? shared.join() : undefined, json: undefined };
@@ -106,10 +106,10 @@
 const takeBody = async (call: Call, like: readonly Compiled.Rule[]): Promise<Filter.Step> => {
   const longest = Math.max(...like.map((rule) => rule.body));
   const total = Math.min(
-    call.asked.left ?? Moment.never,
+    call.requestInfo.timeLeft ?? Moment.never,
     Math.max(...like.map((rule) => rule.timeouts.total)),
   );
-  const body = await readBody(call.incoming, longest, Moment.after(total, call.arrived));
+  const body = await readBody(call.incoming, longest, Moment.after(total, call.arrivedAt));
   if (body === 'long') return Responses.refuse(call, Responses.bodyTooLong(longest));
   if (typeof body === 'string') return Responses.refuse(call, tooSlow);
   call.body = body;
@@ -120,21 +120,21 @@
   return 'next';
 };
 
-const admit = (needs: Filter.Needs, call: Call): Filter.Step | Promise<Filter.Step> => {
+const admit = (needs: Filter.Dependencies, call: Call): Filter.Step | Promise<Filter.Step> => {
   const refusal = identify(needs, call);
   if (refusal) return Responses.refuse(call, refusal);
   const { compiled, method, path, incoming } = call;
   const like = compiled!.rules.filter((rule) => isLike(rule, method, path, incoming.headers));
-  call.like = like;
+  call.candidateRules = like;
   return like.length === 0 ? 'next' : takeBody(call, like);
 };
 
 export const Admit = {
   filter:
-    (needs: Filter.Needs): Filter =>
+    (needs: Filter.Dependencies): Filter =>
     (call) => {
-      const waits = !needs.compiled() && needs.active() <= needs.concurrent;
+      const waits = !needs.compiled() && needs.active() <= needs.maxConcurrent;
       if (!waits) return admit(needs, call);
-      return needs.firstManifest.wait(call.asked.left).then(() => admit(needs, call));
+      return needs.firstManifest.wait(call.requestInfo.timeLeft).then(() => admit(needs, call));
     },
 };
--- a/src/proxy/filters/attempt.ts
+++ b/src/proxy/filters/attempt.ts
@@ -11,11 +11,11 @@
 import { Suspicion } from '../../upstream/suspicion.js';
 import { Trial } from '../../upstream/trial.js';
 import { Tries } from '../../upstream/tries.js';
+import { CacheSalt } from '../cache-salt.js';
 import { Call } from '../call.js';
 import type { Filter } from '../filter.js';
 import { Hygiene } from '../hygiene.js';
 import { Responses } from '../responses.js';
-import { Walled } from '../walled.js';
 
 /** What the tries of a call came to. */
 export type Attempt = { readonly verdict: Tries };
@@ -31,10 +31,10 @@
 const buildRequest = (call: Call, { pick, step, left, hops, after }: Sending): Exchange.Request => {
   const { dialect, id, rule, incoming } = call;
   const { group, server } = pick;
-  const body = Walled.body(call, step.model, group.wall);
+  const body = CacheSalt.body(call, step.model, group.wall);
   const headers: Record<string, string> = {
-    ...Walled.headers(call, group.wall, Hygiene.up(incoming.headers, dialect)),
-    ...dialect.up({ id, left, hops, priority: rule?.priority, after }),
+    ...CacheSalt.headers(call, group.wall, Hygiene.up(incoming.headers, dialect)),
+    ...dialect.requestHeaders({ id, timeLeft: left, hops, priority: rule?.priority, lastEventId: after }),
   };
   if (group.proof) headers[group.proof.header] = server.instance;
   return {
@@ -51,13 +51,13 @@
     .reduce((sum, group) => sum + (group ? group.servers.length * group.concurrent : 0), 0);
 
 const wantOf = (call: Call): Placement.Want => {
-  const { wall, asked, body } = call;
-  const rule = Call.need(call, 'rule');
-  const { total } = Call.need(call, 'timeouts');
+  const { wall, requestInfo: asked, body } = call;
+  const rule = Call.require(call, 'rule');
+  const { total } = Call.require(call, 'timeouts');
   return {
     parts: asked.parts.map((part) => ({ ...part, key: Wall.key(wall, part.key) })),
     wall: wall?.name ?? '',
-    tokens: asked.tokens?.read ?? 0,
+    tokens: asked.tokens?.input ?? 0,
     bytes: body?.length ?? 0,
     aim: rule.aim ?? total,
     gap: rule.gap ?? total,
@@ -76,13 +76,13 @@
   private readonly want: Placement.Want;
 
   constructor(
-    private readonly needs: Filter.Needs,
+    private readonly needs: Filter.Dependencies,
     private readonly call: Call,
   ) {
-    this.rule = Call.need(call, 'rule');
-    this.regions = Call.need(call, 'regions');
-    this.deadline = Call.need(call, 'deadline');
-    this.compiled = Call.need(call, 'compiled');
+    this.rule = Call.require(call, 'rule');
+    this.regions = Call.require(call, 'regions');
+    this.deadline = Call.require(call, 'deadline');
+    this.compiled = Call.require(call, 'compiled');
     this.want = wantOf(call);
   }
 
@@ -96,7 +96,7 @@
       want,
       before: { tried: [...this.tried], sent },
       deadline,
-      signal: call.left,
+      signal: call.clientAbort,
       budget: needs.budget,
       pick: () => this.pickNeeds(),
       run: (pick, tier, hops) => this.run(pick, tier, hops, after),
@@ -115,7 +115,7 @@
   }
 
   private readonly mayGo = (group: Compiled.Group): boolean =>
-    Wall.mayGo(this.call.wall, group.wall, Walled.hasForeignBody(this.call));
+    Wall.mayGo(this.call.wall, group.wall, CacheSalt.hasOpaqueBody(this.call));
 
   private pickNeeds(): Pick.Needs {
     const { needs } = this;
@@ -180,11 +180,11 @@
       pool: needs.pool,
       inFlight: needs.inFlight,
       suspectAfter: Suspicion.firstAfter(rule.aim),
-      timeouts: Call.need(call, 'timeouts'),
+      timeouts: Call.require(call, 'timeouts'),
       deadline: this.deadline,
-      signal: call.left,
+      signal: call.clientAbort,
       isStillOpen: this.isStillOpen,
-      tie: call.dialect.tie(call.asked, pick.group),
+      tie: call.dialect.tie(call.requestInfo, pick.group),
       used: this.used,
       settle: needs.stall.settle,
       ...(rule.isOnce ? {} : { onLost }),
@@ -212,12 +212,12 @@
 );
 
 /** Holds the team's part of the servers until the answer has ended. */
-const enterShare = (needs: Filter.Needs, call: Call): boolean => {
-  const rule = Call.need(call, 'rule');
+const enterShare = (needs: Filter.Dependencies, call: Call): boolean => {
+  const rule = Call.require(call, 'rule');
   const leave = needs.shares.enter(
     rule.steps[0]?.groups.join() ?? '',
-    Call.need(call, 'team').name,
-    capacityOf(Call.need(call, 'compiled'), rule),
+    Call.require(call, 'team').name,
+    capacityOf(Call.require(call, 'compiled'), rule),
   );
   if (leave) call.outgoing.once('close', leave);
   return leave !== undefined;
@@ -225,7 +225,7 @@
 
 export const Attempt = {
   filter:
-    (needs: Filter.Needs): Filter =>
+    (needs: Filter.Dependencies): Filter =>
     (call) => {
       const tries = new CallTries(needs, call);
       if (!tries.hasPlace()) {
@@ -235,7 +235,7 @@
       if (!enterShare(needs, call)) return Responses.refuse(call, crowded);
       call.resume = (after, sent) => tries.launch(after, sent);
       return tries.launch(undefined, 0).then((verdict) => {
-        call.verdict = verdict;
+        call.attemptResult = verdict;
         return 'next';
       });
     },
--- a/src/proxy/filters/commit.ts
+++ b/src/proxy/filters/commit.ts
@@ -8,7 +8,7 @@
 import type { Filter } from '../filter.js';
 import { Hygiene } from '../hygiene.js';
 import { Responses } from '../responses.js';
-import { StreamAnswer } from '../stream-answer.js';
+import { StreamResponse } from '../stream-response.js';
 
 /** What a call is answered with. */
 export type Commit = { readonly verdict: Tries };
@@ -26,19 +26,19 @@
 
 const publicCodes: Partial<Record<Tries.Why, string>> = { refused: 'dropped' };
 
-const count = (needs: Filter.Needs, call: Call, outcome: string): void =>
-  needs.meters.requests.inc({ rule: Call.need(call, 'rule').name, outcome });
+const count = (needs: Filter.Dependencies, call: Call, outcome: string): void =>
+  needs.meters.requests.inc({ rule: Call.require(call, 'rule').name, outcome });
 
 const nameServer = (call: Call, { pick }: Trial, tries: number): Readonly<Record<string, string>> =>
-  call.dialect.down({
+  call.dialect.responseHeaders({
     id: call.id,
     group: pick.group.name,
     region: pick.server.region,
     tries,
-    stamp: Stamp.text(Call.need(call, 'compiled').stamp),
+    stamp: Stamp.text(Call.require(call, 'compiled').stamp),
   });
 
-const refuse = (needs: Filter.Needs, call: Call, refused: Refused): Filter.Step => {
+const refuse = (needs: Filter.Dependencies, call: Call, refused: Refused): Filter.Step => {
   const { status, why: cause, retryAfter, tries } = refused;
   const code = publicCodes[cause] ?? cause;
   count(needs, call, `drop_${status}`);
@@ -53,9 +53,9 @@
   });
 };
 
-const answer = (needs: Filter.Needs, call: Call, { trial, tries }: Answered): Filter.Step => {
+const answer = (needs: Filter.Dependencies, call: Call, { trial, tries }: Answered): Filter.Step => {
   const { outgoing, dialect } = call;
-  if (Call.need(call, 'rule').isOnce && dialect.promises.has(trial.status)) {
+  if (Call.require(call, 'rule').isOnce && dialect.notRunStatuses.has(trial.status)) {
     count(needs, call, 'response_no_promise');
     return Responses.refuse(call, {
       status: 502,
@@ -76,15 +76,18 @@
   return 'answered';
 };
 
-const stream = async (needs: Filter.Needs, call: Call, streamed: Streamed): Promise<Filter.Step> => {
+const stream = async (needs: Filter.Dependencies, call: Call, streamed: Streamed): Promise<Filter.Step> => {
   const { trial, tries, sent } = streamed;
   if (call.outgoing.destroyed) {
-    await StreamAnswer.discard(trial);
+    await StreamResponse.discard(trial);
     count(needs, call, 'client_left');
     return 'answered';
   }
-  needs.meters.firstByte.observe({ rule: Call.need(call, 'rule').name }, Moment.since(call.arrived) / 1000);
-  const how = await StreamAnswer.begin(needs, call, trial, sent, nameServer(call, trial, tries)).pass();
+  needs.meters.firstByte.observe(
+    { rule: Call.require(call, 'rule').name },
+    Moment.since(call.arrivedAt) / 1000,
+  );
+  const how = await StreamResponse.begin(needs, call, trial, sent, nameServer(call, trial, tries)).relay();
   count(needs, call, how === 'done' ? 'served' : `broken_by_${how}`);
   if (how !== 'done') needs.meters.breaks.inc({ side: how });
   return 'answered';
@@ -92,9 +95,9 @@
 
 export const Commit = {
   filter:
-    (needs: Filter.Needs): Filter =>
+    (needs: Filter.Dependencies): Filter =>
     (call) =>
-      match(Call.need(call, 'verdict'))
+      match(Call.require(call, 'verdict'))
         .with({ kind: 'refusal' }, (refused) => refuse(needs, call, refused))
         .with({ kind: 'response' }, (answered) => answer(needs, call, answered))
         .with({ kind: 'stream' }, (streamed) => stream(needs, call, streamed))
--- a/src/proxy/filters/home.ts
+++ b/src/proxy/filters/home.ts
@@ -11,15 +11,15 @@
 
 export const Home = {
   filter: (): Filter => (call) => {
-    const rule = Call.need(call, 'rule');
-    const team = Call.need(call, 'team');
+    const rule = Call.require(call, 'rule');
+    const team = Call.require(call, 'team');
     if (rule.homeRegions) {
       call.regions = rule.homeRegions;
       return 'next';
     }
     const told = rule.homeHeader === undefined ? undefined : call.incoming.headers[rule.homeHeader];
     const name = told === undefined ? team.home : String(told);
-    const regions = name === undefined ? undefined : Call.need(call, 'compiled').homes.get(name);
+    const regions = name === undefined ? undefined : Call.require(call, 'compiled').homes.get(name);
     if (!regions)
       return Responses.refuse(call, {
         status: 400,
--- a/src/proxy/filters/match-rule.ts
+++ b/src/proxy/filters/match-rule.ts
@@ -27,9 +27,9 @@
 };
 
 const findRule = (call: Call): Compiled.Rule | undefined => {
-  const team = Call.need(call, 'team');
+  const team = Call.require(call, 'team');
   const model = call.prompt?.model;
-  return Call.need(call, 'like').find(
+  return Call.require(call, 'like').find(
     (one) =>
       (one.match.models === undefined || (model !== undefined && one.match.models.includes(model))) &&
       (one.teams === undefined || one.teams.includes(team.name)),
@@ -59,8 +59,8 @@
     call.rule = rule;
     if (rule.isShared) call.wall = call.compiled?.walls?.shared();
     call.timeouts = timeouts;
-    const left = Math.min(timeouts.total, call.asked.left ?? timeouts.total);
-    call.deadline = Moment.after(left, call.arrived);
+    const left = Math.min(timeouts.total, call.requestInfo.timeLeft ?? timeouts.total);
+    call.deadline = Moment.after(left, call.arrivedAt);
     return 'next';
   },
 };
--- a/src/proxy/filters/quota.ts
+++ b/src/proxy/filters/quota.ts
@@ -10,8 +10,8 @@
 /** Whose quota a call is charged to. */
 export type Quota = { readonly team: string };
 
-const admit = async (needs: Filter.Needs, call: Call): Promise<Filter.Step> => {
-  const admitted = await needs.quotas.admit(Call.need(call, 'team'), call.body?.length ?? 0);
+const admit = async (needs: Filter.Dependencies, call: Call): Promise<Filter.Step> => {
+  const admitted = await needs.quotas.admit(Call.require(call, 'team'), call.body?.length ?? 0);
   if (admitted.kind === 'over') {
     needs.meters.refusals.inc({ code: 'over_quota' });
     return Responses.refuse(call, {
@@ -27,11 +27,11 @@
 
 export const Quota = {
   filter:
-    (needs: Filter.Needs): Filter =>
+    (needs: Filter.Dependencies): Filter =>
     (call) =>
-      Call.need(call, 'team').quota === undefined ? 'next' : admit(needs, call),
+      Call.require(call, 'team').quota === undefined ? 'next' : admit(needs, call),
   /** Gives back what a call was charged that has been answered and certainly was not run. */
-  settle({ refund, verdict }: Call): void {
+  refundIfNotRun({ refund, attemptResult: verdict }: Call): void {
     const isNotRun = verdict === undefined || (verdict.kind === 'refusal' && verdict.status === 503);
     if (isNotRun) refund?.();
   },
--- a/src/proxy/program.ts
+++ b/src/proxy/program.ts
@@ -187,12 +187,12 @@
       listSerial: () => feed.view().platform.serial,
     });
     const isReady = ready.reason;
-    const { server, limit } = ProxyServer.of(
+    const { server, setLimits: limit } = ProxyServer.of(
       {
         compiled: () => compiled,
         firstManifest,
         active: () => active,
-        concurrent: startup.concurrent ?? 512,
+        maxConcurrent: startup.concurrent ?? 512,
         dialect,
         zone: startup.zone,
         placement,
--- a/src/proxy/responses.ts
+++ b/src/proxy/responses.ts
@@ -52,7 +52,7 @@
       return 'answered';
     }
     const isClosing = !incoming.complete;
-    const { status, headers, body } = dialect.own({
+    const { status, headers, body } = dialect.errorResponse({
       id,
       ...response,
       ran: response.ran ?? 'no',
--- a/src/proxy/server.ts
+++ b/src/proxy/server.ts
@@ -23,7 +23,7 @@
 export type ProxyServer = {
   readonly server: Server;
   /** Takes the machine's limits as the newest manifest has them. */
-  readonly limit: (limits: Document.Limits) => void;
+  readonly setLimits: (limits: Document.Limits) => void;
 };
 
 type Held = { readonly header_bytes: number; readonly header_time: number; readonly idle: number };
@@ -59,7 +59,7 @@
 };
 
 /** The parts of a node's own words that its callers' port answers too. */
-const probeOf = (needs: Filter.Needs, probes: Probes): Filter => {
+const probeOf = (needs: Filter.Dependencies, probes: Probes): Filter => {
   const isOwn = needs.dialect.isOpenAi;
   return (call) => {
     if (!isOwn || call.method !== 'GET') return 'next';
@@ -72,7 +72,7 @@
   };
 };
 
-const callOf = (needs: Filter.Needs, incoming: IncomingMessage, outgoing: ServerResponse): Call => {
+const callOf = (needs: Filter.Dependencies, incoming: IncomingMessage, outgoing: ServerResponse): Call => {
   const { dialect } = needs;
   const left = new AbortController();
   // Without a listener a late write to a caller that has left would end the process.
@@ -80,17 +80,17 @@
   outgoing.once('close', () => {
     if (!outgoing.writableFinished) left.abort(Failure.of('left', 'the client left'));
   });
-  const asked = dialect.read(incoming.headers);
+  const asked = dialect.parse(incoming.headers);
   return {
     id: asked.id,
-    arrived: Moment.now(),
+    arrivedAt: Moment.now(),
     incoming,
     outgoing,
     method: incoming.method ?? 'GET',
     path: Target.path(incoming),
-    left: left.signal,
+    clientAbort: left.signal,
     dialect,
-    asked,
+    requestInfo: asked,
   };
 };
 
@@ -101,17 +101,17 @@
   }
 };
 
-const refuseFailed = (needs: Filter.Needs, call: Call, error: unknown): void => {
+const refuseFailed = (needs: Filter.Dependencies, call: Call, error: unknown): void => {
   needs.note('failure in a filter', { why: Failure.text(error) });
   Responses.refuse(call, {
-    status: call.verdict === undefined ? 500 : 502,
+    status: call.attemptResult === undefined ? 500 : 502,
     code: 'internal',
     text: 'something went wrong here',
     ran: 'unknown',
   });
 };
 
-const filtersOf = (needs: Filter.Needs): readonly Filter[] => [
+const filtersOf = (needs: Filter.Dependencies): readonly Filter[] => [
   Target.filter(),
   Admit.filter(needs),
   ...(needs.dialect.isOpenAi ? [ListModels.filter()] : []),
@@ -123,7 +123,7 @@
 ];
 
 /** Answers requests one by one; `isOutdated` tells a connection that was opened under another bound. */
-const handlerOf = (needs: Filter.Needs, probes: Probes, isOutdated: (socket: object) => boolean) => {
+const handlerOf = (needs: Filter.Dependencies, probes: Probes, isOutdated: (socket: object) => boolean) => {
   const filters = filtersOf(needs);
   const probe = probeOf(needs, probes);
   return async (incoming: IncomingMessage, outgoing: ServerResponse): Promise<void> => {
@@ -135,7 +135,7 @@
     if (probes.isDraining() || isOutdated(incoming.socket)) outgoing.shouldKeepAlive = false;
     try {
       await pass(filters, call);
-      Quota.settle(call);
+      Quota.refundIfNotRun(call);
     } catch (error) {
       refuseFailed(needs, call, error);
     }
@@ -143,7 +143,7 @@
 };
 
 export const ProxyServer = {
-  of(needs: Filter.Needs, probes: Probes): ProxyServer {
+  of(needs: Filter.Dependencies, probes: Probes): ProxyServer {
     let limits = usual;
     const openedUnder = new WeakMap<object, number>();
     const handle = handlerOf(needs, probes, (socket) => openedUnder.get(socket) !== limits.header_bytes);
@@ -160,7 +160,7 @@
     server.prependListener('connection', (socket) => openedUnder.set(socket, limits.header_bytes));
     return {
       server,
-      limit({ header_bytes, header_time, idle }) {
+      setLimits({ header_bytes, header_time, idle }) {
         limits = {
           header_bytes: header_bytes ?? usual.header_bytes,
           header_time: header_time ?? usual.header_time,
--- a/src/proxy/stream-pump.ts
+++ b/src/proxy/stream-pump.ts
@@ -7,33 +7,33 @@
 import { Moment } from '../kinds/moment.js';
 import { Timer } from '../kinds/timer.js';
 import type { Exchange } from '../upstream/exchange.js';
-import type { Chunks } from './chunks.js';
-import type { Events } from './events.js';
+import type { BodyWriter } from './body-writer.js';
+import type { EventSplitter } from './event-splitter.js';
 
 /** How the passing of a body ended: whole, or broken by the side named, or by the end of its time. */
 export type StreamPump = 'done' | 'server' | 'client' | 'late';
 
 export declare namespace StreamPump {
-  type Spans = {
+  type Limits = {
     /** The longest silence of a server, in milliseconds. */
     readonly idle: number;
-    readonly until: Moment | undefined;
+    readonly deadline: Moment | undefined;
     /** How long a pause makes the server suspect, in milliseconds; undefined where none does. */
     readonly suspectAfter: number | undefined;
   };
-  type Watch = {
+  type Observer = {
     readonly onEvent: (span: number) => void;
     readonly onSilence: () => void;
     /** Calls back when the server is found dark and the stream may go on elsewhere. */
     readonly onLost: (end: () => void) => () => void;
   };
-  type Terms = {
+  type Options = {
     readonly body: Exchange.Body;
     readonly outgoing: ServerResponse;
-    readonly chunks: Chunks;
-    readonly events: Events | undefined;
-    readonly spans: Spans;
-    readonly watch: Watch;
+    readonly chunks: BodyWriter;
+    readonly events: EventSplitter | undefined;
+    readonly spans: Limits;
+    readonly watch: Observer;
   };
 }
 
@@ -49,11 +49,11 @@
   private readonly forget: () => void;
 
   constructor(
-    private readonly terms: StreamPump.Terms,
+    private readonly terms: StreamPump.Options,
     private readonly resolve: (how: StreamPump) => void,
   ) {
     const { spans, watch } = terms;
-    const { idle, until, suspectAfter } = spans;
+    const { idle, deadline: until, suspectAfter } = spans;
     const left = until === undefined ? Moment.never : Moment.left(until);
     if (until !== undefined) this.late = Timer.after(left, this.onLate);
     // A silence that would outlast the time of the request is ended by that.
@@ -76,7 +76,7 @@
     this.suspicion?.again();
     if (this.last !== undefined) watch.onEvent(now - this.last);
     this.last = now;
-    const whole = events ? events.take(chunk) : chunk;
+    const whole = events ? events.push(chunk) : chunk;
     if (whole === undefined) return true;
     this.cork();
     return chunks.write(whole);
@@ -86,7 +86,7 @@
     const { chunks, events, outgoing } = this.terms;
     this.isEnded = true;
     this.rest();
-    chunks.end(events?.rest(), () => this.resolve('done'));
+    chunks.end(events?.remainder(), () => this.resolve('done'));
     outgoing.once('close', () => this.resolve(outgoing.writableFinished ? 'done' : 'client'));
   }
 
@@ -149,6 +149,6 @@
 }
 
 export const StreamPump = {
-  run: (terms: StreamPump.Terms): Promise<StreamPump> =>
+  run: (terms: StreamPump.Options): Promise<StreamPump> =>
     new Promise((resolve) => new Pump(terms, resolve).start()),
 };
--- a/src/proxy/stream-answer.ts
+++ b/src/proxy/stream-response.ts
@@ -8,16 +8,16 @@
 import { Moment } from '../kinds/moment.js';
 import { Suspicion } from '../upstream/suspicion.js';
 import type { Trial } from '../upstream/trial.js';
+import { BodyWriter } from './body-writer.js';
 import { Call } from './call.js';
-import { Chunks } from './chunks.js';
-import { Events } from './events.js';
+import { EventSplitter } from './event-splitter.js';
 import type { Filter } from './filter.js';
 import { Hygiene } from './hygiene.js';
 import { Reset } from './reset.js';
 import { StreamPump } from './stream-pump.js';
 
 /** An answer that has begun. */
-export type StreamAnswer = { readonly pass: () => Promise<StreamPump> };
+export type StreamResponse = { readonly relay: () => Promise<StreamPump> };
 
 type Streamed = Extract<Trial, { kind: 'stream' }>;
 type Headers = Readonly<Record<string, string>>;
@@ -30,7 +30,7 @@
   (headers['content-encoding'] ?? 'identity') === 'identity';
 
 /** Ends an answer so that it never looks whole: one that nothing but its connection delimits needs a reset. */
-const cut = (outgoing: ServerResponse, { isDelimited }: Chunks): void => {
+const cut = (outgoing: ServerResponse, { isDelimited }: BodyWriter): void => {
   if (isDelimited || !outgoing.socket) outgoing.destroy();
   else Reset.now(outgoing.socket);
 };
@@ -41,27 +41,29 @@
 };
 
 class Answer {
-  private readonly events: Events | undefined;
-  private readonly chunks: Chunks;
-  private readonly spans: StreamPump.Spans;
+  private readonly events: EventSplitter | undefined;
+  private readonly chunks: BodyWriter;
+  private readonly spans: StreamPump.Limits;
 
   constructor(
-    private readonly needs: Filter.Needs,
+    private readonly needs: Filter.Dependencies,
     private readonly call: Call,
     private trial: Streamed,
     private sent: number,
     named: Headers,
   ) {
-    const rule = Call.need(call, 'rule');
+    const rule = Call.require(call, 'rule');
     const isStream = isEventStream(trial);
-    this.events = rule.isResumable && isStream ? Events.of(call.asked.after) : undefined;
+    this.events = rule.isResumable && isStream ? EventSplitter.of(call.requestInfo.lastEventId) : undefined;
     this.spans = {
-      idle: Call.need(call, 'timeouts').idle,
-      until: call.dialect.endsAnswers ? Moment.after(lateness, Call.need(call, 'deadline')) : undefined,
+      idle: Call.require(call, 'timeouts').idle,
+      deadline: call.dialect.deadlineEndsResponses
+        ? Moment.after(lateness, Call.require(call, 'deadline'))
+        : undefined,
       suspectAfter: isStream ? Suspicion.pauseAfter(rule.gap) : undefined,
     };
     this.writeHead(named);
-    this.chunks = Chunks.of(call.outgoing);
+    this.chunks = BodyWriter.of(call.outgoing);
   }
 
   private writeHead(named: Headers): void {
@@ -74,7 +76,7 @@
     setImmediate(() => outgoing.uncork());
   }
 
-  async pass(): Promise<StreamPump> {
+  async relay(): Promise<StreamPump> {
     const { outgoing } = this.call;
     let how = await this.passOne();
     while (how === 'server' && (await this.resume())) how = await this.passOne();
@@ -113,7 +115,7 @@
     needs.note('stream broken', { request: call.id, by: server.instance });
   }
 
-  private watch(): StreamPump.Watch {
+  private watch(): StreamPump.Observer {
     const { needs, trial, events } = this;
     const { server } = trial.pick;
     return {
@@ -130,8 +132,8 @@
   private async resume(): Promise<boolean> {
     const { call, events } = this;
     if (!events?.canResume() || !call.resume) return false;
-    events.restart();
-    const verdict = await call.resume(events.last(), this.sent);
+    events.reset();
+    const verdict = await call.resume(events.lastId(), this.sent);
     if (verdict.kind !== 'stream') return false;
     this.sent = verdict.sent;
     if (call.outgoing.destroyed || verdict.trial.status !== 200 || !isEventStream(verdict.trial)) {
@@ -143,9 +145,14 @@
   }
 }
 
-export const StreamAnswer = {
+export const StreamResponse = {
   discard,
   /** Commits to the server's answer: its head goes out. */
-  begin: (needs: Filter.Needs, call: Call, trial: Streamed, sent: number, named: Headers): StreamAnswer =>
-    new Answer(needs, call, trial, sent, named),
+  begin: (
+    needs: Filter.Dependencies,
+    call: Call,
+    trial: Streamed,
+    sent: number,
+    named: Headers,
+  ): StreamResponse => new Answer(needs, call, trial, sent, named),
 };
--- a/test/chunks.test.ts
+++ b/test/chunks.test.ts
@@ -6,7 +6,7 @@
 import { type AddressInfo, connect } from 'node:net';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import { Chunks } from '../src/proxy/chunks.js';
+import { BodyWriter } from '../src/proxy/body-writer.js';
 
 const answered = async (
   answer: (response: ServerResponse) => void,
@@ -40,7 +40,7 @@
           const own = await answered((response) => {
             response.writeHead(200, { 'content-type': 'text/plain' });
             response.flushHeaders();
-            const chunks = Chunks.of(response);
+            const chunks = BodyWriter.of(response);
             assert.equal(chunks.isDelimited, true);
             for (const one of buffers) chunks.write(one);
             chunks.end(rest, () => {});
@@ -63,7 +63,7 @@
       response.setHeader('content-length', '5');
       response.writeHead(200);
       response.flushHeaders();
-      const chunks = Chunks.of(response);
+      const chunks = BodyWriter.of(response);
       assert.equal(chunks.isDelimited, true);
       chunks.write(Buffer.from('he'));
       chunks.end(Buffer.from('llo'), () => {});
@@ -75,7 +75,7 @@
     const text = await answered((response) => {
       response.writeHead(200, {});
       response.flushHeaders();
-      const chunks = Chunks.of(response);
+      const chunks = BodyWriter.of(response);
       chunks.write(Buffer.from('half'));
       setTimeout(() => response.destroy(), 20);
     });
@@ -86,7 +86,7 @@
     const text = await answered((response) => {
       response.writeHead(200, {});
       response.flushHeaders();
-      const chunks = Chunks.of(response);
+      const chunks = BodyWriter.of(response);
       assert.equal(chunks.isDelimited, false);
       chunks.write(Buffer.from('plain'));
       chunks.end(undefined, () => {});
--- a/tools/fuzz/lab.ts
+++ b/tools/fuzz/lab.ts
@@ -47,7 +47,7 @@
     /** Tokens for extra tries from the start, so that the budget is not what a test meets. */
     readonly tokens?: number;
     /** Replaces a part of the request path, for planted faults. */
-    readonly alter?: (needs: Filter.Needs) => Filter.Needs;
+    readonly alter?: (needs: Filter.Dependencies) => Filter.Dependencies;
   };
 }
 
@@ -95,11 +95,11 @@
     onDark() {},
     onBack() {},
   });
-  const needs: Filter.Needs = {
+  const needs: Filter.Dependencies = {
     compiled: newest,
     firstManifest: FirstManifest.of(),
     active,
-    concurrent: 512,
+    maxConcurrent: 512,
     dialect: terms.dialect ?? Dialect,
     zone,
     pool,
@@ -153,7 +153,7 @@
       () => active,
     );
     const needs = terms.alter ? terms.alter(made.needs) : made.needs;
-    const { server, limit } = ProxyServer.of(needs, {
+    const { server, setLimits: limit } = ProxyServer.of(needs, {
       isReady: () => undefined,
       isDraining: () => false,
       change(by) {
--- a/tools/fuzz/plants.ts
+++ b/tools/fuzz/plants.ts
@@ -98,7 +98,7 @@
   },
   'a server’s 429 is passed on as a promise': {
     judges: ['refused'],
-    alter: (needs) => ({ ...needs, dialect: { ...needs.dialect, promises: new Set<number>() } }),
+    alter: (needs) => ({ ...needs, dialect: { ...needs.dialect, notRunStatuses: new Set<number>() } }),
   },
   'every 500 counts as not run': {
     judges: ['refused', 'twice'],
--- a/tools/fuzz/player.ts
+++ b/tools/fuzz/player.ts
@@ -18,7 +18,7 @@
 
 export declare namespace Player {
   /** Changes a part of the request path; the tool's plants. */
-  type Alter = (needs: Filter.Needs, way: Case.Way) => Filter.Needs;
+  type Alter = (needs: Filter.Dependencies, way: Case.Way) => Filter.Dependencies;
 }
 
 type Stage = {
--- a/tools/plants/wall-plants.ts
+++ b/tools/plants/wall-plants.ts
@@ -24,8 +24,8 @@
     ...common,
     name: 'walls: the salt is left out on a retry',
     file: 'src/proxy/filters/attempt.js',
-    from: 'Walled.body(call, step.model, pick.group.wall)',
-    to: "Walled.body(call.isTried ? { ...call, wall: { ...call.wall, salt: '' } } : ((call.isTried = true), call), step.model, pick.group.wall)",
+    from: 'CacheSalt.body(call, step.model, pick.group.wall)',
+    to: "CacheSalt.body(call.isTried ? { ...call, wall: { ...call.wall, salt: '' } } : ((call.isTried = true), call), step.model, pick.group.wall)",
     only: ['serverResets', 'groupResets', 'groupFails'],
   },
   {
@@ -62,7 +62,7 @@
   {
     ...common,
     name: 'walls: a caller’s own salt is let through',
-    file: 'src/proxy/walled.js',
+    file: 'src/proxy/cache-salt.js',
     from: '[way.name]: wall.salt',
     to: '[way.name]: json[way.name] ?? wall.salt',
     only: ['agentKilled'],
