--- a/src/proxy/filters/commit.ts
+++ b/src/proxy/filters/commit.ts
@@ -97,7 +97,7 @@
   filter:
     (needs: Filter.Dependencies): Filter =>
     (call) =>
-      match(Call.require(call, 'verdict'))
+      match(Call.require(call, 'attemptResult'))
         .with({ kind: 'refusal' }, (refused) => refuse(needs, call, refused))
         .with({ kind: 'response' }, (answered) => answer(needs, call, answered))
         .with({ kind: 'stream' }, (streamed) => stream(needs, call, streamed))
--- a/src/proxy/filters/match-rule.ts
+++ b/src/proxy/filters/match-rule.ts
@@ -29,7 +29,7 @@
 const findRule = (call: Call): Compiled.Rule | undefined => {
   const team = Call.require(call, 'team');
   const model = call.prompt?.model;
-  return Call.require(call, 'like').find(
+  return Call.require(call, 'candidateRules').find(
     (one) =>
       (one.match.models === undefined || (model !== undefined && one.match.models.includes(model))) &&
       (one.teams === undefined || one.teams.includes(team.name)),
