--- a/src/proxy/stream-pump.ts
+++ b/src/proxy/stream-pump.ts
@@ -32,8 +32,8 @@
     readonly outgoing: ServerResponse;
     readonly chunks: BodyWriter;
     readonly events: EventSplitter | undefined;
-    readonly spans: Limits;
-    readonly watch: Observer;
+    readonly limits: Limits;
+    readonly observer: Observer;
   };
 }
 
@@ -52,7 +52,7 @@
     private readonly terms: StreamPump.Options,
     private readonly resolve: (how: StreamPump) => void,
   ) {
-    const { spans, watch } = terms;
+    const { limits: spans, observer: watch } = terms;
     const { idle, deadline: until, suspectAfter } = spans;
     const left = until === undefined ? Moment.never : Moment.left(until);
     if (until !== undefined) this.late = Timer.after(left, this.onLate);
@@ -70,7 +70,7 @@
   }
 
   write(chunk: Buffer): boolean {
-    const { watch, events, chunks } = this.terms;
+    const { observer: watch, events, chunks } = this.terms;
     const now = Moment.now();
     this.quiet?.again();
     this.suspicion?.again();
--- a/src/proxy/stream-response.ts
+++ b/src/proxy/stream-response.ts
@@ -94,8 +94,8 @@
       outgoing,
       chunks,
       events,
-      spans,
-      watch: this.watch(),
+      limits: spans,
+      observer: this.watch(),
     });
     trial.job.end();
     if (how === 'done') {
