--- a/src/proxy/call.ts
+++ b/src/proxy/call.ts
@@ -1,4 +1,4 @@
-/** One request of a caller on its way through the filters, and what they have found out about it so far. */
+/** State of one client request as it passes through the filter chain. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Ident } from '../kinds/ident.js';
 import type { Moment } from '../kinds/moment.js';
@@ -9,40 +9,48 @@
 import type { Dialect } from './dialect.js';
 import type { Prompt } from './prompt.js';
 
-/** A request and what is known of it. */
+/** A client request, with the fields that the filters fill in one after another. */
 export type Call = {
   readonly id: Ident.Request;
   readonly arrivedAt: Moment;
   readonly incoming: IncomingMessage;
   readonly outgoing: ServerResponse;
   readonly method: string;
-  /** The path of the target as the caller wrote it, without the query. */
+  /** The request path exactly as the client sent it, without the query. */
   readonly path: string;
-  /** Aborted when the caller has left before its answer ended. */
+  /** Aborted when the client disconnects before its response is complete. */
   readonly clientAbort: AbortSignal;
   readonly dialect: Dialect;
+  /** What the dialect read from the request headers. */
   readonly requestInfo: Dialect.RequestInfo;
+  /** The manifest in force when the request was admitted. */
   compiled?: Compiled;
   team?: Compiled.Team;
+  /** Cache isolation of the tenant; undefined where the manifest defines none. */
   wall?: Wall | undefined;
   body?: Buffer;
   prompt?: Prompt;
-  /** The rules that its path, host, method and headers fit, in order. */
+  /** Rules whose path, host, method and headers match, in manifest order. */
   candidateRules?: readonly Compiled.Rule[];
   rule?: Compiled.Rule;
   timeouts?: Document.Timeouts;
+  /** Regions that may serve the request. */
   regions?: readonly Ident.Region[];
   deadline?: Moment;
-  /** Gives back what the call was charged. */
+  /** Returns what was charged to the team quota. */
   refund?: () => void;
+  /** Outcome of all attempts, set by the attempt filter. */
   attemptResult?: Tries;
+  /** Runs further attempts that continue a stream after the given event id. */
   resume?: (after: string | undefined, tries: number) => Promise<Tries>;
 };
 
+/** Access to the fields of a call. */
 export const Call = {
+  /** Returns a field that an earlier filter has set; throws if it is missing. */
   require<K extends keyof Call>(call: Call, key: K): NonNullable<Call[K]> {
     const value = call[key];
-    if (value === undefined || value === null) throw new Error(`the call has no ${key} yet`);
+    if (value === undefined || value === null) throw new Error(`call.${key} is not set yet`);
     return value as NonNullable<Call[K]>;
   },
 };
--- a/src/proxy/dialect.ts
+++ b/src/proxy/dialect.ts
@@ -1,38 +1,48 @@
-// What a proxy must know of the words on its wire: how a request says who it is, how long its caller waits and
-// what its prompt is made of; what each try tells the server; what ties an answer to the try; and how our
-// own answers look. The product's own words are one dialect; another may be handed in at start.
+/**
+ * The header conventions of the proxy: how a request gives its id, remaining time and prompt, which headers each attempt
+ * sends to a server, how a response is matched to its request, and the format of error responses. The product's own
+ * conventions are one dialect; another may be supplied at start.
+ */
 import type { IncomingHttpHeaders } from 'node:http';
 import { Ident } from '../kinds/ident.js';
 import type { Compiled } from '../manifest/compiled.js';
 import type { Tie } from '../upstream/tie.js';
 
+/** Reads and writes the headers of one set of conventions. */
 export type Dialect = {
   readonly parse: (headers: IncomingHttpHeaders) => Dialect.RequestInfo;
+  /** Whether a client header is forwarded to servers. */
   readonly isKept: (name: string) => boolean;
-  /** Headers that go on though the sender lists them among those of one connection. */
+  /** Whether a header is forwarded even if the sender lists it in its Connection header. */
   readonly isNeeded: (name: string) => boolean;
+  /** Headers that an attempt adds to the request to the server. */
   readonly requestHeaders: (told: Dialect.AttemptInfo) => Readonly<Record<string, string>>;
-  /** What a server of the group sends back with its answer to the request, if anything. */
+  /** The header and value that a server of the group must echo in its response, if any. */
   readonly tie: (asked: Dialect.RequestInfo, group: Compiled.Group) => Tie | undefined;
+  /** Headers added to the response to the client. */
   readonly responseHeaders: (served: Dialect.ResponseInfo) => Readonly<Record<string, string>>;
+  /** Builds an error response of the proxy itself. */
   readonly errorResponse: (answer: Dialect.ErrorInfo) => {
     readonly status: number;
     readonly headers: Readonly<Record<string, string>>;
     readonly body: object;
   };
-  /** Whether the time of a request also ends an answer that has begun. */
+  /** Whether the request deadline also ends a response that has started. */
   readonly deadlineEndsResponses: boolean;
-  /** Statuses by which a caller is promised that its request did not run and never will. */
+  /** Statuses that guarantee to the client that the request did not run and never will. */
   readonly notRunStatuses: ReadonlySet<number>;
-  /** Whether model and prompt are read from an OpenAI-style body, and the key from the usual headers. */
+  /** Whether the model and prompt are read from an OpenAI-style body, and the API key from the usual headers. */
   readonly isOpenAi: boolean;
 };
 
+/** Arguments and results of a dialect. */
 export declare namespace Dialect {
+  /** One part of a prompt, identified by a hash key, and its length. */
   type Part = { readonly key: string; readonly tokens: number };
+  /** What a client request says about itself. */
   type RequestInfo = {
     readonly id: Ident.Request;
-    /** The id in the caller's own words, as servers get it. */
+    /** The request id supplied by the client, forwarded to servers unchanged. */
     readonly clientRequestId: string | undefined;
     readonly timeLeft: number | undefined;
     readonly model: string | undefined;
@@ -40,6 +50,7 @@
     readonly parts: readonly Part[];
     readonly lastEventId: string | undefined;
   };
+  /** What one attempt tells the server. */
   type AttemptInfo = {
     readonly id: string;
     readonly timeLeft: number;
@@ -47,6 +58,7 @@
     readonly priority: number | undefined;
     readonly lastEventId: string | undefined;
   };
+  /** What a response tells the client about where it was served. */
   type ResponseInfo = {
     readonly id: string;
     readonly group: string;
@@ -54,6 +66,7 @@
     readonly tries: number;
     readonly stamp: string;
   };
+  /** An error response of the proxy itself. */
   type ErrorInfo = {
     readonly id: string;
     readonly status: number;
@@ -67,16 +80,16 @@
   };
 }
 
-const types: Readonly<Record<number, string>> = {
+const errorTypes: Readonly<Record<number, string>> = {
   401: 'authentication_error',
   403: 'permission_error',
   404: 'not_found_error',
   429: 'rate_limit_error',
 };
-const lastEventId = 'last-event-id';
-const notUp = new Set(['host', 'authorization', 'api-key', 'x-api-key']);
+const lastEventIdHeader = 'last-event-id';
+const credentialHeaders = new Set(['host', 'authorization', 'api-key', 'x-api-key']);
 
-/** The product's own words: headers that begin with bramblebend-, errors as OpenAI writes them. */
+/** The product's own conventions: headers with the prefix bramblebend-, and errors in the OpenAI format. */
 export const Dialect: Dialect = {
   isOpenAi: true,
   deadlineEndsResponses: false,
@@ -88,15 +101,17 @@
     model: undefined,
     tokens: undefined,
     parts: [],
-    lastEventId: Array.isArray(headers[lastEventId]) ? headers[lastEventId][0] : headers[lastEventId],
+    lastEventId: Array.isArray(headers[lastEventIdHeader])
+      ? headers[lastEventIdHeader][0]
+      : headers[lastEventIdHeader],
   }),
-  isKept: (name) => !notUp.has(name),
+  isKept: (name) => !credentialHeaders.has(name),
   isNeeded: () => false,
-  requestHeaders: ({ id, timeLeft: left, hops, lastEventId: after }) => ({
+  requestHeaders: ({ id, timeLeft, hops, lastEventId }) => ({
     'bramblebend-request-id': id,
-    'bramblebend-time-left': String(Math.max(0, Math.floor(left))),
+    'bramblebend-time-left': String(Math.max(0, Math.floor(timeLeft))),
     'bramblebend-hops': String(hops),
-    ...(after === undefined ? {} : { [lastEventId]: after }),
+    ...(lastEventId === undefined ? {} : { [lastEventIdHeader]: lastEventId }),
   }),
   tie: ({ id }, { echo }) => (echo === undefined ? undefined : { header: echo, value: id }),
   responseHeaders: ({ id, group, region, tries, stamp }) => ({
@@ -107,7 +122,7 @@
     'bramblebend-stamp': stamp,
   }),
   errorResponse({ id, status, code, text, ran, tries, stamp, retryAfter }) {
-    const type = types[status] ?? (status < 500 ? 'invalid_request_error' : 'api_error');
+    const type = errorTypes[status] ?? (status < 500 ? 'invalid_request_error' : 'api_error');
     return {
       status,
       headers: {
@@ -118,6 +133,7 @@
         ...(retryAfter === undefined
           ? {}
           : {
+              // Random jitter keeps clients from retrying all at the same time.
               'retry-after': String(
                 Math.max(1, Math.ceil((Math.max(retryAfter, 1000) * (1 + Math.random())) / 1000)),
               ),
--- a/src/proxy/filter.ts
+++ b/src/proxy/filter.ts
@@ -1,6 +1,6 @@
 /**
- * A filter is one station on a request's way through the proxy: it answers the call, or lets it go on. One that has its
- * decision at hand gives it without a promise.
+ * A filter is one step of request processing in the proxy: it either answers the call or passes it on. A filter that can
+ * decide synchronously returns its result without a promise.
  */
 import type { Compiled } from '../manifest/compiled.js';
 import type { Budget } from '../upstream/budget.js';
@@ -20,16 +20,20 @@
 import type { Shares } from './shares.js';
 import type { Stall } from './stall.js';
 
-/** Answers a call, or lets it go on. */
+/** Answers a call, or passes it to the next filter. */
 export type Filter = (call: Call) => Filter.Step | Promise<Filter.Step>;
 
+/** Results and dependencies of filters. */
 export declare namespace Filter {
-  /** Whether the call has been answered, or goes on to the next filter. */
+  /** Whether the call has been answered or continues with the next filter. */
   type Step = 'answered' | 'next';
+  /** The parts of the proxy that filters use. */
   type Dependencies = {
     readonly compiled: () => Compiled | undefined;
     readonly firstManifest: FirstManifest;
+    /** Number of requests in progress. */
     readonly active: () => number;
+    /** Requests in progress above which new ones are refused. */
     readonly maxConcurrent: number;
     readonly dialect: Dialect;
     readonly zone: string;
@@ -46,6 +50,7 @@
     readonly prover: Prover;
     readonly shares: Shares;
     readonly meters: Meters;
+    /** Writes a log line. */
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   };
 }
--- a/src/proxy/server.ts
+++ b/src/proxy/server.ts
@@ -1,7 +1,7 @@
 /**
- * The callers' port: every call goes through the chain of filters, each of which may answer. What a caller may send, how
- * long its head may take and how long its connection may rest follows the newest manifest; a connection that was opened
- * under another bound of its head ends behind its next answer, since its parser keeps the old one.
+ * The HTTP server for clients: every request passes through a chain of filters, each of which may answer it. Limits on
+ * headers, bodies and idle connections follow the newest manifest. The parser of a connection keeps the header size limit
+ * that was in force when the connection was opened, so after a change such a connection is closed after its next response.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { Failure } from '../kinds/failure.js';
@@ -19,23 +19,29 @@
 import { Target } from './filters/target.js';
 import { Responses } from './responses.js';
 
-/** The callers' port. */
+/** The HTTP server for clients. */
 export type ProxyServer = {
   readonly server: Server;
-  /** Takes the machine's limits as the newest manifest has them. */
+  /** Applies the connection limits of the newest manifest. */
   readonly setLimits: (limits: Document.Limits) => void;
 };
 
-type Held = { readonly header_bytes: number; readonly header_time: number; readonly idle: number };
+type ConnectionLimits = {
+  readonly header_bytes: number;
+  readonly header_time: number;
+  readonly idle: number;
+};
 
-const usual: Held = { header_bytes: 16 * 1024, header_time: 10_000, idle: 15_000 };
-const requestTime = 30_000;
+/** Defaults, in bytes and milliseconds, where the manifest sets no limit. */
+const defaults: ConnectionLimits = { header_bytes: 16 * 1024, header_time: 10_000, idle: 15_000 };
+/** Time for receiving a whole request, in milliseconds, unless the header timeout is longer. */
+const requestTimeoutMs = 30_000;
 
 /**
- * Node.js closes the answer under way when a caller goes, and says nothing to the answers that wait behind it on
- * the same connection; those are closed here.
+ * Closes pipelined responses when their connection closes. Node.js closes only the response being sent and does not
+ * notify those queued behind it on the same connection.
  */
-const endWithConnection = ({ socket }: IncomingMessage, outgoing: ServerResponse): void => {
+const closeWithConnection = ({ socket }: IncomingMessage, outgoing: ServerResponse): void => {
   if (outgoing.socket && !socket.destroyed) return;
   let isClosed = false;
   const close = () => {
@@ -53,16 +59,18 @@
 };
 
 type Probes = {
+  /** The reason why the proxy is not ready; undefined when it is ready. */
   readonly isReady: () => string | undefined;
   readonly isDraining: () => boolean;
+  /** Changes the number of active requests by the given amount. */
   readonly change: (by: number) => void;
 };
 
-/** The parts of a node's own words that its callers' port answers too. */
-const probeOf = (needs: Filter.Dependencies, probes: Probes): Filter => {
-  const isOwn = needs.dialect.isOpenAi;
+/** Answers the health and readiness checks of the product, which are also available on the client port. */
+const createProbeFilter = (needs: Filter.Dependencies, probes: Probes): Filter => {
+  const hasProbes = needs.dialect.isOpenAi;
   return (call) => {
-    if (!isOwn || call.method !== 'GET') return 'next';
+    if (!hasProbes || call.method !== 'GET') return 'next';
     if (call.path === '/health') return Responses.json(call, 200, {}, { status: 'up' });
     if (call.path !== '/ready') return 'next';
     const reason = probes.isReady();
@@ -72,46 +80,50 @@
   };
 };
 
-const callOf = (needs: Filter.Dependencies, incoming: IncomingMessage, outgoing: ServerResponse): Call => {
+const createCall = (
+  needs: Filter.Dependencies,
+  incoming: IncomingMessage,
+  outgoing: ServerResponse,
+): Call => {
   const { dialect } = needs;
-  const left = new AbortController();
-  // Without a listener a late write to a caller that has left would end the process.
+  const abort = new AbortController();
+  // Without a listener, a late write to a disconnected client would crash the process.
   outgoing.on('error', () => {});
   outgoing.once('close', () => {
-    if (!outgoing.writableFinished) left.abort(Failure.of('left', 'the client left'));
+    if (!outgoing.writableFinished) abort.abort(Failure.of('left', 'the client closed the connection'));
   });
-  const asked = dialect.parse(incoming.headers);
+  const requestInfo = dialect.parse(incoming.headers);
   return {
-    id: asked.id,
+    id: requestInfo.id,
     arrivedAt: Moment.now(),
     incoming,
     outgoing,
     method: incoming.method ?? 'GET',
     path: Target.path(incoming),
-    clientAbort: left.signal,
+    clientAbort: abort.signal,
     dialect,
-    requestInfo: asked,
+    requestInfo,
   };
 };
 
-const pass = async (filters: readonly Filter[], call: Call): Promise<void> => {
+const runFilters = async (filters: readonly Filter[], call: Call): Promise<void> => {
   for (const filter of filters) {
     const step = filter(call);
     if ((typeof step === 'string' ? step : await step) === 'answered') return;
   }
 };
 
-const refuseFailed = (needs: Filter.Dependencies, call: Call, error: unknown): void => {
-  needs.note('failure in a filter', { why: Failure.text(error) });
+const answerInternalError = (needs: Filter.Dependencies, call: Call, error: unknown): void => {
+  needs.note('request filter failed', { why: Failure.text(error) });
   Responses.refuse(call, {
     status: call.attemptResult === undefined ? 500 : 502,
     code: 'internal',
-    text: 'something went wrong here',
+    text: 'internal error in the proxy',
     ran: 'unknown',
   });
 };
 
-const filtersOf = (needs: Filter.Dependencies): readonly Filter[] => [
+const createFilters = (needs: Filter.Dependencies): readonly Filter[] => [
   Target.filter(),
   Admit.filter(needs),
   ...(needs.dialect.isOpenAi ? [ListModels.filter()] : []),
@@ -122,53 +134,62 @@
   Commit.filter(needs),
 ];
 
-/** Answers requests one by one; `isOutdated` tells a connection that was opened under another bound. */
-const handlerOf = (needs: Filter.Dependencies, probes: Probes, isOutdated: (socket: object) => boolean) => {
-  const filters = filtersOf(needs);
-  const probe = probeOf(needs, probes);
+/** Handles requests; `isOutdated` tells whether a connection was opened under a different header size limit. */
+const createHandler = (
+  needs: Filter.Dependencies,
+  probes: Probes,
+  isOutdated: (socket: object) => boolean,
+) => {
+  const filters = createFilters(needs);
+  const probe = createProbeFilter(needs, probes);
   return async (incoming: IncomingMessage, outgoing: ServerResponse): Promise<void> => {
-    const call = callOf(needs, incoming, outgoing);
+    const call = createCall(needs, incoming, outgoing);
     if (probe(call) === 'answered') return;
-    endWithConnection(incoming, outgoing);
+    closeWithConnection(incoming, outgoing);
     outgoing.once('close', () => probes.change(-1));
     probes.change(1);
     if (probes.isDraining() || isOutdated(incoming.socket)) outgoing.shouldKeepAlive = false;
     try {
-      await pass(filters, call);
+      await runFilters(filters, call);
       Quota.refundIfNotRun(call);
     } catch (error) {
-      refuseFailed(needs, call, error);
+      answerInternalError(needs, call, error);
     }
   };
 };
 
+/** Creates the HTTP server for clients. */
 export const ProxyServer = {
   of(needs: Filter.Dependencies, probes: Probes): ProxyServer {
-    let limits = usual;
-    const openedUnder = new WeakMap<object, number>();
-    const handle = handlerOf(needs, probes, (socket) => openedUnder.get(socket) !== limits.header_bytes);
+    let limits = defaults;
+    const headerLimitOf = new WeakMap<object, number>();
+    const handle = createHandler(
+      needs,
+      probes,
+      (socket) => headerLimitOf.get(socket) !== limits.header_bytes,
+    );
     const server = createServer(
       {
-        headersTimeout: usual.header_time,
-        requestTimeout: requestTime,
-        keepAliveTimeout: usual.idle,
-        maxHeaderSize: usual.header_bytes,
+        headersTimeout: defaults.header_time,
+        requestTimeout: requestTimeoutMs,
+        keepAliveTimeout: defaults.idle,
+        maxHeaderSize: defaults.header_bytes,
         connectionsCheckingInterval: 1000,
       },
       (incoming, outgoing) => void handle(incoming, outgoing),
     ) as Server & { maxHeaderSize: number };
-    server.prependListener('connection', (socket) => openedUnder.set(socket, limits.header_bytes));
+    server.prependListener('connection', (socket) => headerLimitOf.set(socket, limits.header_bytes));
     return {
       server,
       setLimits({ header_bytes, header_time, idle }) {
         limits = {
-          header_bytes: header_bytes ?? usual.header_bytes,
-          header_time: header_time ?? usual.header_time,
-          idle: idle ?? usual.idle,
+          header_bytes: header_bytes ?? defaults.header_bytes,
+          header_time: header_time ?? defaults.header_time,
+          idle: idle ?? defaults.idle,
         };
         server.maxHeaderSize = limits.header_bytes;
         server.headersTimeout = limits.header_time;
-        server.requestTimeout = Math.max(requestTime, limits.header_time);
+        server.requestTimeout = Math.max(requestTimeoutMs, limits.header_time);
         server.keepAliveTimeout = limits.idle;
       },
     };
