--- a/src/proxy/filters/admit.ts
+++ b/src/proxy/filters/admit.ts
@@ -1,6 +1,6 @@
 /**
- * Admit: refuses what this proxy cannot take on, finds the team by its key, and reads the body up to the largest limit of
- * the rules that could match, within their deadline.
+ * Admit filter: refuses requests beyond the capacity of this proxy, identifies the team by its API key, and reads the
+ * body up to the largest size limit of the rules that could match, within their timeout.
  */
 import type { IncomingMessage } from 'node:http';
 import { Moment } from '../../kinds/moment.js';
@@ -11,10 +11,10 @@
 import { Prompt } from '../prompt.js';
 import { Responses } from '../responses.js';
 
-/** Whether a rule may take a call. */
+/** Whether a rule may match a call. */
 export type Admit = { readonly mayMatch: (rule: Compiled.Rule) => boolean };
 
-type Bad = 'long' | 'late' | 'left';
+type BodyError = 'long' | 'late' | 'left';
 
 const readKey = (headers: NodeJS.Dict<string | string[]>): string | undefined => {
   const bearer = /^Bearer +(\S+) *$/i.exec(String(headers.authorization ?? ''))?.[1];
@@ -22,17 +22,17 @@
   return bearer ?? (typeof other === 'string' ? other : undefined);
 };
 
-const hostOf = (headers: NodeJS.Dict<string | string[]>): string =>
+const readHost = (headers: NodeJS.Dict<string | string[]>): string =>
   String(headers.host ?? '')
     .replace(/:\d+$/, '')
     .toLowerCase();
 
-const readBody = (incoming: IncomingMessage, longest: number, until: Moment): Promise<Buffer | Bad> =>
+const readBody = (incoming: IncomingMessage, maxBytes: number, until: Moment): Promise<Buffer | BodyError> =>
   new Promise((resolve) => {
-    if (Number(incoming.headers['content-length'] ?? 0) > longest) return resolve('long');
+    if (Number(incoming.headers['content-length'] ?? 0) > maxBytes) return resolve('long');
     const chunks: Buffer[] = [];
     let length = 0;
-    const finish = (how: Buffer | Bad) => {
+    const finish = (how: Buffer | BodyError) => {
       late.stop();
       if (typeof how === 'string') incoming.pause();
       resolve(how);
@@ -40,34 +40,37 @@
     const late = Timer.after(Moment.left(until), () => finish('late'));
     incoming.on('data', (chunk: Buffer) => {
       length += chunk.length;
-      if (length > longest) finish('long');
+      if (length > maxBytes) finish('long');
       else chunks.push(chunk);
     });
     incoming.once('end', () => finish(Buffer.concat(chunks)));
     incoming.once('close', () => finish('left'));
   });
 
-/** The path goes first: it turns away nearly all rules, of which there may be thousands. */
-const isLike = (
+/** Compares the path first: it rules out nearly all rules, of which there may be thousands. */
+const isCandidate = (
   rule: Compiled.Rule,
   method: string,
   path: string,
   headers: NodeJS.Dict<string | string[]>,
 ): boolean => {
   const { match } = rule;
-  const isPath = rule.prefix === undefined ? match.path === path : path.startsWith(rule.prefix);
-  if (!isPath) return false;
-  if (match.host !== undefined && match.host !== hostOf(headers)) return false;
+  const matchesPath = rule.prefix === undefined ? match.path === path : path.startsWith(rule.prefix);
+  if (!matchesPath) return false;
+  if (match.host !== undefined && match.host !== readHost(headers)) return false;
   if (match.method !== undefined && match.method !== method) return false;
   return Object.entries(match.headers ?? {}).every(([name, value]) => headers[name] === value);
 };
 
-const crowded = Responses.unavailable('crowded', 'this proxy serves as many requests as it may');
-const noManifest = Responses.unavailable('no_manifest', 'no manifest is in force here yet');
-const noKey: Responses = { status: 401, code: 'invalid_api_key', text: 'the key is missing or unknown' };
-const noWall = Responses.unavailable('no_wall', 'the wall around this tenant can’t be told');
+const crowded = Responses.unavailable('crowded', 'this proxy is at its limit of concurrent requests');
+const noManifest = Responses.unavailable('no_manifest', 'this proxy has not received a manifest yet');
+const noKey: Responses = { status: 401, code: 'invalid_api_key', text: 'the API key is missing or unknown' };
+const unknownIsolation = Responses.unavailable(
+  'no_wall',
+  'the cache isolation of this tenant cannot be determined',
+);
 
-/** Finds whose call it is, or says why it is refused. */
+/** Identifies the team and its cache isolation, or returns the refusal. */
 const identify = (needs: Filter.Dependencies, call: Call): Responses | undefined => {
   const compiled = needs.compiled();
   if (!compiled) return noManifest;
@@ -80,42 +83,46 @@
   call.wall = compiled.walls?.of(team.name);
   if (!compiled.walls || call.wall) return undefined;
   needs.meters.refusals.inc({ code: 'no_wall' });
-  return noWall;
+  return unknownIsolation;
 };
 
 const isPromptPath = (path: string): boolean => path === '/v1/chat/completions' || path === '/v1/completions';
 
-/** What is known of the prompt; undefined where the body should be a JSON object and is none. */
-const promptOf = (call: Call, body: Buffer): Prompt | undefined => {
-  const { dialect, requestInfo: asked, path, incoming } = call;
+/** Returns the prompt; undefined if the body should be a JSON object but is not. */
+const readPrompt = (call: Call, body: Buffer): Prompt | undefined => {
+  const { dialect, requestInfo, path, incoming } = call;
   if (!dialect.isOpenAi) {
-    const shared = asked.parts.slice(0, -1).map((part) => part.key);
-    return { model: asked.model, key: shared.length > 0 ? shared.join() : undefined, json: undefined };
+    const shared = requestInfo.parts.slice(0, -1).map((part) => part.key);
+    return { model: requestInfo.model, key: shared.length > 0 ? shared.join() : undefined, json: undefined };
   }
   const isJson = /^application\/([a-z.+-]+\+)?json\b/i.test(incoming.headers['content-type'] ?? '');
-  const isRead = isPromptPath(path) || (body.length > 0 && isJson);
-  return isRead ? Prompt.read(body) : Prompt.none;
+  const hasPrompt = isPromptPath(path) || (body.length > 0 && isJson);
+  return hasPrompt ? Prompt.read(body) : Prompt.none;
 };
 
 const tooSlow: Responses = {
   status: 408,
   code: 'body_too_slow',
-  text: 'the body did not come in the time that the whole request has',
+  text: 'the request body did not arrive within the total timeout',
 };
 
-const takeBody = async (call: Call, like: readonly Compiled.Rule[]): Promise<Filter.Step> => {
-  const longest = Math.max(...like.map((rule) => rule.body));
+const receiveBody = async (call: Call, candidates: readonly Compiled.Rule[]): Promise<Filter.Step> => {
+  const maxBytes = Math.max(...candidates.map((rule) => rule.body));
   const total = Math.min(
     call.requestInfo.timeLeft ?? Moment.never,
-    Math.max(...like.map((rule) => rule.timeouts.total)),
+    Math.max(...candidates.map((rule) => rule.timeouts.total)),
   );
-  const body = await readBody(call.incoming, longest, Moment.after(total, call.arrivedAt));
-  if (body === 'long') return Responses.refuse(call, Responses.bodyTooLong(longest));
+  const body = await readBody(call.incoming, maxBytes, Moment.after(total, call.arrivedAt));
+  if (body === 'long') return Responses.refuse(call, Responses.bodyTooLong(maxBytes));
   if (typeof body === 'string') return Responses.refuse(call, tooSlow);
   call.body = body;
-  const prompt = promptOf(call, body);
+  const prompt = readPrompt(call, body);
   if (!prompt)
-    return Responses.refuse(call, { status: 400, code: 'bad_json', text: 'the body is no JSON object' });
+    return Responses.refuse(call, {
+      status: 400,
+      code: 'bad_json',
+      text: 'the request body is not a JSON object',
+    });
   call.prompt = prompt;
   return 'next';
 };
@@ -124,17 +131,18 @@
   const refusal = identify(needs, call);
   if (refusal) return Responses.refuse(call, refusal);
   const { compiled, method, path, incoming } = call;
-  const like = compiled!.rules.filter((rule) => isLike(rule, method, path, incoming.headers));
-  call.candidateRules = like;
-  return like.length === 0 ? 'next' : takeBody(call, like);
+  const candidates = compiled!.rules.filter((rule) => isCandidate(rule, method, path, incoming.headers));
+  call.candidateRules = candidates;
+  return candidates.length === 0 ? 'next' : receiveBody(call, candidates);
 };
 
+/** Creates the admit filter. */
 export const Admit = {
   filter:
     (needs: Filter.Dependencies): Filter =>
     (call) => {
-      const waits = !needs.compiled() && needs.active() <= needs.maxConcurrent;
-      if (!waits) return admit(needs, call);
+      const awaitsManifest = !needs.compiled() && needs.active() <= needs.maxConcurrent;
+      if (!awaitsManifest) return admit(needs, call);
       return needs.firstManifest.wait(call.requestInfo.timeLeft).then(() => admit(needs, call));
     },
 };
--- a/src/proxy/filters/attempt.ts
+++ b/src/proxy/filters/attempt.ts
@@ -1,4 +1,7 @@
-/** Pick and try: gives the call to the upstream layer and keeps the verdict for the commit. */
+/**
+ * Attempt filter: sends the request to servers, with the retries that its rule allows, and keeps the outcome for the
+ * commit filter.
+ */
 import type { Ident } from '../../kinds/ident.js';
 import { Moment } from '../../kinds/moment.js';
 import type { Compiled } from '../../manifest/compiled.js';
@@ -17,10 +20,10 @@
 import { Hygiene } from '../hygiene.js';
 import { Responses } from '../responses.js';
 
-/** What the tries of a call came to. */
+/** The outcome of all attempts of a call. */
 export type Attempt = { readonly verdict: Tries };
 
-type Sending = {
+type SendOptions = {
   readonly pick: Pick;
   readonly step: Compiled.Step;
   readonly left: number;
@@ -28,7 +31,7 @@
   readonly after: string | undefined;
 };
 
-const buildRequest = (call: Call, { pick, step, left, hops, after }: Sending): Exchange.Request => {
+const buildRequest = (call: Call, { pick, step, left, hops, after }: SendOptions): Exchange.Request => {
   const { dialect, id, rule, incoming } = call;
   const { group, server } = pick;
   const body = CacheSalt.body(call, step.model, group.wall);
@@ -45,29 +48,30 @@
   };
 };
 
-const capacityOf = (compiled: Compiled, rule: Compiled.Rule): number =>
+/** Requests that the servers of the first step can process at once. */
+const countCapacity = (compiled: Compiled, rule: Compiled.Rule): number =>
   (rule.steps[0]?.groups ?? [])
     .map((name) => compiled.groups.get(name))
     .reduce((sum, group) => sum + (group ? group.servers.length * group.concurrent : 0), 0);
 
-const wantOf = (call: Call): Placement.Want => {
-  const { wall, requestInfo: asked, body } = call;
+const createPlacementRequest = (call: Call): Placement.Want => {
+  const { wall, requestInfo, body } = call;
   const rule = Call.require(call, 'rule');
   const { total } = Call.require(call, 'timeouts');
   return {
-    parts: asked.parts.map((part) => ({ ...part, key: Wall.key(wall, part.key) })),
+    parts: requestInfo.parts.map((part) => ({ ...part, key: Wall.key(wall, part.key) })),
     wall: wall?.name ?? '',
-    tokens: asked.tokens?.input ?? 0,
+    tokens: requestInfo.tokens?.input ?? 0,
     bytes: body?.length ?? 0,
     aim: rule.aim ?? total,
     gap: rule.gap ?? total,
   };
 };
 
-/** All tries of one call: those of its first answer, and those that take a stream up again. */
-class CallTries {
+/** All attempts of one call: those for its first response, and those that resume a broken stream. */
+class CallAttempts {
   private readonly tried: string[] = [];
-  /** Connections that carried an earlier try: an answer to that one may still come there. */
+  /** Connections that carried an earlier attempt; a late response to it may still arrive there. */
   private readonly used = new Set<Connection>();
   private readonly rule: Compiled.Rule;
   private readonly regions: readonly Ident.Region[];
@@ -83,9 +87,10 @@
     this.regions = Call.require(call, 'regions');
     this.deadline = Call.require(call, 'deadline');
     this.compiled = Call.require(call, 'compiled');
-    this.want = wantOf(call);
+    this.want = createPlacementRequest(call);
   }
 
+  /** Runs attempts until one succeeds or none is left; `after` resumes a stream behind that event id. */
   launch(after: string | undefined, sent: number): Promise<Tries> {
     const { needs, call, rule, regions, want, deadline } = this;
     const key = call.prompt?.key;
@@ -98,14 +103,14 @@
       deadline,
       signal: call.clientAbort,
       budget: needs.budget,
-      pick: () => this.pickNeeds(),
+      pick: () => this.pickDependencies(),
       run: (pick, tier, hops) => this.run(pick, tier, hops, after),
       note: (trial, isExtra) => this.note(trial, isExtra),
     });
   }
 
-  /** Whether some server of the rule may be given this call. */
-  hasPlace(): boolean {
+  /** Whether any server group of the rule may receive this call under the isolation rules of its tenant. */
+  hasEligibleGroup(): boolean {
     return this.rule.steps.some((step) =>
       step.groups.some((name) => {
         const group = this.compiled.groups.get(name);
@@ -117,7 +122,7 @@
   private readonly mayGo = (group: Compiled.Group): boolean =>
     Wall.mayGo(this.call.wall, group.wall, CacheSalt.hasOpaqueBody(this.call));
 
-  private pickNeeds(): Pick.Needs {
+  private pickDependencies(): Pick.Needs {
     const { needs } = this;
     return {
       compiled: needs.compiled() ?? this.compiled,
@@ -133,6 +138,7 @@
     };
   }
 
+  /** Whether the newest manifest still allows the call on the chosen server, at the same address. */
   private readonly isStillOpen = ({ server }: Pick): boolean => {
     const compiled = this.needs.compiled();
     const newest = compiled?.servers.get(server.instance);
@@ -157,7 +163,7 @@
     const place = needs.warmup.enter(instance);
     let sentAt = Moment.now();
     const trial = await Trial.run(pick, {
-      ...this.trialNeeds(pick),
+      ...this.trialDependencies(pick),
       request: (left) => buildRequest(call, { pick, step: tier.step, left, hops, after }),
       weight: rule.aim === undefined ? (call.body?.length ?? 0) : placed.uncached,
       onSend() {
@@ -169,7 +175,7 @@
     return trial;
   }
 
-  private trialNeeds(pick: Pick): Omit<Trial.Needs, 'request' | 'weight' | 'onSend'> {
+  private trialDependencies(pick: Pick): Omit<Trial.Needs, 'request' | 'weight' | 'onSend'> {
     const { needs, call, rule } = this;
     const { instance } = pick.server;
     const onLost = (end: () => void) =>
@@ -201,38 +207,42 @@
     const outcome = 'why' in trial ? `${trial.kind}_${trial.why}` : `${trial.kind}_${trial.status}`;
     needs.meters.tries.inc({ group: trial.pick.group.name, outcome, extra: isExtra ? 'yes' : 'no' });
     if (trial.kind !== 'stream')
-      needs.note('try ended', { request: call.id, to: trial.pick.server.instance, outcome });
+      needs.note('attempt ended', { request: call.id, to: trial.pick.server.instance, outcome });
   }
 }
 
-const noWall = Responses.unavailable('no_wall', 'no servers of this rule keep the wall around this tenant');
-const crowded = Responses.unavailable(
+const noIsolatingServer = Responses.unavailable(
+  'no_wall',
+  'no server of this rule provides cache isolation for this tenant',
+);
+const shareExceeded = Responses.unavailable(
   'crowded',
-  'the servers are crowded and your team holds its part of them',
+  'the servers are near capacity and your team already uses its share of them',
 );
 
-/** Holds the team's part of the servers until the answer has ended. */
-const enterShare = (needs: Filter.Dependencies, call: Call): boolean => {
+/** Counts the call against the team's share of the servers until its response has ended. */
+const acquireShare = (needs: Filter.Dependencies, call: Call): boolean => {
   const rule = Call.require(call, 'rule');
   const leave = needs.shares.enter(
     rule.steps[0]?.groups.join() ?? '',
     Call.require(call, 'team').name,
-    capacityOf(Call.require(call, 'compiled'), rule),
+    countCapacity(Call.require(call, 'compiled'), rule),
   );
   if (leave) call.outgoing.once('close', leave);
   return leave !== undefined;
 };
 
+/** Creates the attempt filter. */
 export const Attempt = {
   filter:
     (needs: Filter.Dependencies): Filter =>
     (call) => {
-      const tries = new CallTries(needs, call);
-      if (!tries.hasPlace()) {
+      const tries = new CallAttempts(needs, call);
+      if (!tries.hasEligibleGroup()) {
         needs.meters.refusals.inc({ code: 'no_wall' });
-        return Responses.refuse(call, noWall);
+        return Responses.refuse(call, noIsolatingServer);
       }
-      if (!enterShare(needs, call)) return Responses.refuse(call, crowded);
+      if (!acquireShare(needs, call)) return Responses.refuse(call, shareExceeded);
       call.resume = (after, sent) => tries.launch(after, sent);
       return tries.launch(undefined, 0).then((verdict) => {
         call.attemptResult = verdict;
--- a/src/proxy/filters/commit.ts
+++ b/src/proxy/filters/commit.ts
@@ -1,4 +1,7 @@
-/** Commit: the last filter. It answers with what the tries came to: a server's answer, or a refusal of our own. */
+/**
+ * Commit filter, the last one: answers the client according to the outcome of the attempts, with the response of a server
+ * or an error of the proxy.
+ */
 import { match } from 'ts-pattern';
 import { Moment } from '../../kinds/moment.js';
 import { Stamp } from '../../kinds/stamp.js';
@@ -10,26 +13,31 @@
 import { Responses } from '../responses.js';
 import { StreamResponse } from '../stream-response.js';
 
-/** What a call is answered with. */
+/** The outcome that a call is answered with. */
 export type Commit = { readonly verdict: Tries };
 
-type Refused = Extract<Tries, { kind: 'refusal' }>;
-type Answered = Extract<Tries, { kind: 'response' }>;
-type Streamed = Extract<Tries, { kind: 'stream' }>;
+type Refusal = Extract<Tries, { kind: 'refusal' }>;
+type FinalResponse = Extract<Tries, { kind: 'response' }>;
+type ServerStream = Extract<Tries, { kind: 'stream' }>;
 
-const why: Partial<Record<Tries.Why, string>> = {
-  no_server: 'no server may run this request just now',
-  budget: 'the share of extra tries is used up',
-  refused: 'the servers tried refused it',
-  total: 'the request ran out of time',
+const reasonTexts: Partial<Record<Tries.Why, string>> = {
+  no_server: 'no server is currently available for this request',
+  budget: 'the retry budget is exhausted',
+  refused: 'the servers refused the request',
+  total: 'the total timeout of the request expired',
 };
 
+/** Error codes on the wire that differ from the internal reason. */
 const publicCodes: Partial<Record<Tries.Why, string>> = { refused: 'dropped' };
 
 const count = (needs: Filter.Dependencies, call: Call, outcome: string): void =>
   needs.meters.requests.inc({ rule: Call.require(call, 'rule').name, outcome });
 
-const nameServer = (call: Call, { pick }: Trial, tries: number): Readonly<Record<string, string>> =>
+const createResponseHeaders = (
+  call: Call,
+  { pick }: Trial,
+  tries: number,
+): Readonly<Record<string, string>> =>
   call.dialect.responseHeaders({
     id: call.id,
     group: pick.group.name,
@@ -38,7 +46,7 @@
     stamp: Stamp.text(Call.require(call, 'compiled').stamp),
   });
 
-const refuse = (needs: Filter.Dependencies, call: Call, refused: Refused): Filter.Step => {
+const refuse = (needs: Filter.Dependencies, call: Call, refused: Refusal): Filter.Step => {
   const { status, why: cause, retryAfter, tries } = refused;
   const code = publicCodes[cause] ?? cause;
   count(needs, call, `drop_${status}`);
@@ -46,21 +54,22 @@
   return Responses.refuse(call, {
     status,
     code,
-    text: why[cause] ?? `no server answered: ${cause}`,
+    text: reasonTexts[cause] ?? `no server answered: ${cause}`,
     ran: status === 503 ? 'no' : 'unknown',
     retryAfter,
     tries,
   });
 };
 
-const answer = (needs: Filter.Dependencies, call: Call, { trial, tries }: Answered): Filter.Step => {
+const answer = (needs: Filter.Dependencies, call: Call, { trial, tries }: FinalResponse): Filter.Step => {
   const { outgoing, dialect } = call;
   if (Call.require(call, 'rule').isOnce && dialect.notRunStatuses.has(trial.status)) {
+    // Passed on as it is, this status would tell the client that the request did not run.
     count(needs, call, 'response_no_promise');
     return Responses.refuse(call, {
       status: 502,
       code: 'no_promise',
-      text: `a server answered ${trial.status} and did not say that it had not run the request`,
+      text: `a server answered ${trial.status} without stating that it had not run the request`,
       ran: 'unknown',
       tries,
     });
@@ -68,7 +77,7 @@
   count(needs, call, `response_${trial.status}`);
   outgoing.writeHead(trial.status, {
     ...Hygiene.down(trial.headers, dialect),
-    ...nameServer(call, trial, tries),
+    ...createResponseHeaders(call, trial, tries),
     'bramblebend-ran': 'unknown',
     'content-length': trial.body.length,
   });
@@ -76,7 +85,11 @@
   return 'answered';
 };
 
-const stream = async (needs: Filter.Dependencies, call: Call, streamed: Streamed): Promise<Filter.Step> => {
+const stream = async (
+  needs: Filter.Dependencies,
+  call: Call,
+  streamed: ServerStream,
+): Promise<Filter.Step> => {
   const { trial, tries, sent } = streamed;
   if (call.outgoing.destroyed) {
     await StreamResponse.discard(trial);
@@ -87,12 +100,19 @@
     { rule: Call.require(call, 'rule').name },
     Moment.since(call.arrivedAt) / 1000,
   );
-  const how = await StreamResponse.begin(needs, call, trial, sent, nameServer(call, trial, tries)).relay();
-  count(needs, call, how === 'done' ? 'served' : `broken_by_${how}`);
-  if (how !== 'done') needs.meters.breaks.inc({ side: how });
+  const result = await StreamResponse.begin(
+    needs,
+    call,
+    trial,
+    sent,
+    createResponseHeaders(call, trial, tries),
+  ).relay();
+  count(needs, call, result === 'done' ? 'served' : `broken_by_${result}`);
+  if (result !== 'done') needs.meters.breaks.inc({ side: result });
   return 'answered';
 };
 
+/** Creates the commit filter. */
 export const Commit = {
   filter:
     (needs: Filter.Dependencies): Filter =>
--- a/src/proxy/filters/home.ts
+++ b/src/proxy/filters/home.ts
@@ -1,14 +1,15 @@
 /**
- * Home: the regions this call is bound to. They come from the rule's declared header or else the team's default; a home
- * that is not known, or not among the team's, is refused and never guessed.
+ * Home filter: determines the regions that may serve this call, from the header declared in the rule or else from the
+ * default of the team. A home that is unknown or not allowed to the team is refused; there is no fallback.
  */
 import { Call } from '../call.js';
 import type { Filter } from '../filter.js';
 import { Responses } from '../responses.js';
 
-/** The home of a call. */
+/** The home of a call: a named set of regions. */
 export type Home = { readonly name: string };
 
+/** Creates the home filter. */
 export const Home = {
   filter: (): Filter => (call) => {
     const rule = Call.require(call, 'rule');
@@ -17,20 +18,20 @@
       call.regions = rule.homeRegions;
       return 'next';
     }
-    const told = rule.homeHeader === undefined ? undefined : call.incoming.headers[rule.homeHeader];
-    const name = told === undefined ? team.home : String(told);
+    const requested = rule.homeHeader === undefined ? undefined : call.incoming.headers[rule.homeHeader];
+    const name = requested === undefined ? team.home : String(requested);
     const regions = name === undefined ? undefined : Call.require(call, 'compiled').homes.get(name);
     if (!regions)
       return Responses.refuse(call, {
         status: 400,
         code: 'unknown_home',
-        text: name === undefined ? 'neither the request nor its team names a home' : 'the home is not known',
+        text: name === undefined ? 'neither the request nor its team specifies a home' : 'unknown home',
       });
     if (team.homes && !team.homes.some((one) => one === name))
       return Responses.refuse(call, {
         status: 403,
         code: 'forbidden_home',
-        text: 'the home is not among those of the team',
+        text: 'the team may not use this home',
       });
     call.regions = regions;
     return 'next';
--- a/src/proxy/filters/list-models.ts
+++ b/src/proxy/filters/list-models.ts
@@ -1,9 +1,9 @@
-/** List models: the models that the rules of a team name, for callers that speak the product's own words. */
+/** List-models filter: answers with the models that the rules of a team name, in the format of OpenAI. */
 import type { Call } from '../call.js';
 import type { Filter } from '../filter.js';
 import { Responses } from '../responses.js';
 
-/** The path of the list. */
+/** The endpoint of the model list. */
 export type ListModels = { readonly path: string };
 
 const path = '/v1/models';
@@ -15,6 +15,7 @@
       .flatMap((rule) => rule.match.models ?? []),
   );
 
+/** Creates the filter that answers the model list. */
 export const ListModels = {
   path,
   filter: (): Filter => (call) => {
--- a/src/proxy/filters/match-rule.ts
+++ b/src/proxy/filters/match-rule.ts
@@ -1,6 +1,6 @@
 /**
- * Match rule: the first rule in order whose path, method, headers, model and teams fit takes the call. The timeouts a
- * caller asks for are taken within the rule's bounds.
+ * Match-rule filter: selects the first rule whose path, method, headers, model and teams match. Timeouts requested by the
+ * client are capped at the bounds of the rule.
  */
 import { Moment } from '../../kinds/moment.js';
 import type { Compiled } from '../../manifest/compiled.js';
@@ -9,12 +9,12 @@
 import type { Filter } from '../filter.js';
 import { Responses } from '../responses.js';
 
-/** The timeouts that a call runs under. */
+/** The timeouts that apply to a call. */
 export type MatchRule = { readonly timeouts: Document.Timeouts };
 
-const overrides = 'bramblebend-timeouts';
+const timeoutsHeader = 'bramblebend-timeouts';
 
-const readOverrides = (text: string, rule: Compiled.Rule): Document.Timeouts | undefined => {
+const parseTimeouts = (text: string, rule: Compiled.Rule): Document.Timeouts | undefined => {
   const asked = { ...rule.timeouts };
   for (const part of text.split(',')) {
     const [name, value] = part.split('=').map((one) => one.trim());
@@ -40,9 +40,10 @@
   Responses.refuse(call, {
     status: 400,
     code: 'bad_timeouts',
-    text: `${overrides} must read name=milliseconds, with names out of ${Object.keys(rule.timeouts).join(', ')}`,
+    text: `${timeoutsHeader} must be a list of name=milliseconds, with names from ${Object.keys(rule.timeouts).join(', ')}`,
   });
 
+/** Creates the match-rule filter. */
 export const MatchRule = {
   filter: (): Filter => (call) => {
     const rule = findRule(call);
@@ -50,11 +51,11 @@
       return Responses.refuse(call, {
         status: 404,
         code: 'no_rule',
-        text: 'no rule takes this path, method, model and team',
+        text: 'no rule matches this path, method, model and team',
       });
     if ((call.body?.length ?? 0) > rule.body) return Responses.refuse(call, Responses.bodyTooLong(rule.body));
-    const asked = call.incoming.headers[overrides];
-    const timeouts = asked === undefined ? rule.timeouts : readOverrides(String(asked), rule);
+    const asked = call.incoming.headers[timeoutsHeader];
+    const timeouts = asked === undefined ? rule.timeouts : parseTimeouts(String(asked), rule);
     if (!timeouts) return refuseTimeouts(call, rule);
     call.rule = rule;
     if (rule.isShared) call.wall = call.compiled?.walls?.shared();
--- a/src/proxy/filters/quota.ts
+++ b/src/proxy/filters/quota.ts
@@ -1,13 +1,13 @@
 /**
- * Quota: a team that has used up what the manifest lets it ask for in a span is refused as not run. A request is charged
- * once, when it is let in, however many tries it takes and whether or not its caller stays; only one that certainly was
- * not run is given back.
+ * Quota filter: refuses the request of a team that has exhausted its quota, before the request runs. A request is charged
+ * once, on admission, regardless of its number of attempts and of whether the client disconnects; the charge is refunded
+ * only if the request certainly did not run.
  */
 import { Call } from '../call.js';
 import type { Filter } from '../filter.js';
 import { Responses } from '../responses.js';
 
-/** Whose quota a call is charged to. */
+/** The team whose quota a call is charged to. */
 export type Quota = { readonly team: string };
 
 const admit = async (needs: Filter.Dependencies, call: Call): Promise<Filter.Step> => {
@@ -17,7 +17,7 @@
     return Responses.refuse(call, {
       status: 429,
       code: 'over_quota',
-      text: 'your team has used up its quota for now',
+      text: 'your team has exceeded its quota',
       retryAfter: admitted.retryAfter,
     });
   }
@@ -25,14 +25,16 @@
   return 'next';
 };
 
+/** Creates the quota filter and refunds charges. */
 export const Quota = {
   filter:
     (needs: Filter.Dependencies): Filter =>
     (call) =>
       Call.require(call, 'team').quota === undefined ? 'next' : admit(needs, call),
-  /** Gives back what a call was charged that has been answered and certainly was not run. */
-  refundIfNotRun({ refund, attemptResult: verdict }: Call): void {
-    const isNotRun = verdict === undefined || (verdict.kind === 'refusal' && verdict.status === 503);
+  /** Refunds the charge of an answered call that certainly did not run. */
+  refundIfNotRun({ refund, attemptResult }: Call): void {
+    const isNotRun =
+      attemptResult === undefined || (attemptResult.kind === 'refusal' && attemptResult.status === 503);
     if (isNotRun) refund?.();
   },
 };
--- a/src/proxy/filters/target.ts
+++ b/src/proxy/filters/target.ts
@@ -1,17 +1,17 @@
 /**
- * Target: which host and path a request is for. The path counts as it is written, for that is what a server gets; a
- * target that is no path, or a request that names no host or more than one, could be read in two ways by those on its
- * way, and is refused.
+ * Target filter: validates the host and path of a request. The path is used exactly as written, since servers receive it
+ * that way. A target that is not a path, and a request without exactly one Host header, are refused because components on
+ * the way could interpret them differently.
  */
 import type { IncomingMessage } from 'node:http';
 import type { Filter } from '../filter.js';
 import { Responses } from '../responses.js';
 
-/** What a request is for. */
+/** The target of a request. */
 export type Target = { readonly path: string };
 
-/** A name, an IPv4 or a bracketed IPv6 address, with a port or without. */
-const host = /^(\[[0-9a-f:.]+\]|[^\s/?#@\\:[\]<>^|"]+)(:\d{1,5})?$/i;
+/** A host name, an IPv4 address or a bracketed IPv6 address, optionally with a port. */
+const hostPattern = /^(\[[0-9a-f:.]+\]|[^\s/?#@\\:[\]<>^|"]+)(:\d{1,5})?$/i;
 
 const countHosts = ({ rawHeaders }: IncomingMessage): number => {
   let count = 0;
@@ -27,21 +27,22 @@
   return query < 0 ? url : url.slice(0, query);
 };
 
-const isPlain = (incoming: IncomingMessage, path: string): boolean =>
+const isUnambiguous = (incoming: IncomingMessage, path: string): boolean =>
   path.startsWith('/') &&
   !path.includes('\\') &&
   countHosts(incoming) === 1 &&
-  host.test(incoming.headers.host ?? '');
+  hostPattern.test(incoming.headers.host ?? '');
 
+/** Creates the target filter and extracts the request path. */
 export const Target = {
-  /** The path of the target as it is written, without the query. */
+  /** The request path exactly as written, without the query. */
   path: pathOf,
   filter: (): Filter => (call) => {
-    if (isPlain(call.incoming, call.path)) return 'next';
+    if (isUnambiguous(call.incoming, call.path)) return 'next';
     return Responses.refuse(call, {
       status: 400,
       code: 'bad_target',
-      text: 'a request names one host, and its target is a path',
+      text: 'a request must have exactly one valid Host header and a path as its target',
     });
   },
 };
