--- a/src/proxy/body-writer.ts
+++ b/src/proxy/body-writer.ts
@@ -1,14 +1,17 @@
 /**
- * Chunked framing of an answer in one buffer a chunk. Node.js hands on the length, two line ends and the bytes of each
- * chunk apart and joins them in the kernel call; an event of a stream is a few bytes, so most of that is framing.
+ * Writes response bodies, with chunked framing in one buffer per chunk. Node.js writes the length, the line ends and the
+ * data of each chunk as separate buffers and joins them in the system call; events of a stream are only a few bytes long,
+ * so most of that work would be framing.
  */
 import type { ServerResponse } from 'node:http';
 
-/** Writes the body of an answer whose head has gone out. */
+/** Writes the body of a response whose headers have been sent. */
 export type BodyWriter = {
+  /** Returns false when the client connection applies back pressure. */
   readonly write: (chunk: Buffer) => boolean;
+  /** Ends the body with an optional last chunk. */
   readonly end: (last: Buffer | undefined, done: () => void) => void;
-  /** Whether an answer that breaks off now shows that it isn't whole. */
+  /** Whether the client can tell that a response which ends now is truncated. */
   readonly isDelimited: boolean;
 };
 
@@ -24,9 +27,9 @@
   return framed;
 };
 
-/** The framing of answers. */
+/** Creates body writers. */
 export const BodyWriter = {
-  /** Takes over the framing where the answer is chunked; any other is written as it is. */
+  /** Takes over the framing of a chunked response; any other body is written unchanged. */
   of(outgoing: ServerResponse): BodyWriter {
     if (!outgoing.chunkedEncoding)
       return {
--- a/src/proxy/stream-pump.ts
+++ b/src/proxy/stream-pump.ts
@@ -1,6 +1,7 @@
 /**
- * Passes the body that one server sends to the caller, as it comes, with back pressure both ways. It ends the body when
- * the server falls silent, when the time of the request is over and when the caller leaves, and tells how it ended.
+ * Copies the body that one server sends to the client as it arrives, with back pressure in both directions. It aborts the
+ * body when the server sends nothing for too long, when the deadline passes and when the client disconnects, and reports
+ * how the transfer ended.
  */
 import type { ServerResponse } from 'node:http';
 import { Failure } from '../kinds/failure.js';
@@ -10,21 +11,28 @@
 import type { BodyWriter } from './body-writer.js';
 import type { EventSplitter } from './event-splitter.js';
 
-/** How the passing of a body ended: whole, or broken by the side named, or by the end of its time. */
+/** How the transfer ended: complete, broken by the named side, or ended by the deadline. */
 export type StreamPump = 'done' | 'server' | 'client' | 'late';
 
+/** Options of a transfer. */
 export declare namespace StreamPump {
   type Limits = {
-    /** The longest silence of a server, in milliseconds. */
+    /** Idle timeout of the server, in milliseconds. */
     readonly idle: number;
+    /** Ends the transfer; undefined where the deadline applies only until the response starts. */
     readonly deadline: Moment | undefined;
-    /** How long a pause makes the server suspect, in milliseconds; undefined where none does. */
+    /** Pause after which the server is suspected to have failed, in milliseconds; undefined to disable. */
     readonly suspectAfter: number | undefined;
   };
   type Observer = {
+    /** Called with the time since the previous data, in milliseconds. */
     readonly onEvent: (span: number) => void;
+    /** Called when the pause reaches `suspectAfter`. */
     readonly onSilence: () => void;
-    /** Calls back when the server is found dark and the stream may go on elsewhere. */
+    /**
+     * Registers a callback for when the server is found unreachable and the stream may resume elsewhere. Returns a function
+     * that removes it.
+     */
     readonly onLost: (end: () => void) => () => void;
   };
   type Options = {
@@ -40,26 +48,26 @@
 class Pump implements Exchange.Sink {
   private flow: { readonly resume: () => void } | undefined;
   private isEnded = false;
-  private isLate = false;
+  private isPastDeadline = false;
   private isCorked = false;
-  private last: Moment | undefined;
-  private readonly quiet: Timer | undefined;
-  private readonly late: Timer | undefined;
-  private readonly suspicion: Timer | undefined;
-  private readonly forget: () => void;
+  private lastData: Moment | undefined;
+  private readonly idleTimer: Timer | undefined;
+  private readonly deadlineTimer: Timer | undefined;
+  private readonly suspicionTimer: Timer | undefined;
+  private readonly unsubscribe: () => void;
 
   constructor(
     private readonly terms: StreamPump.Options,
-    private readonly resolve: (how: StreamPump) => void,
+    private readonly resolve: (result: StreamPump) => void,
   ) {
-    const { limits: spans, observer: watch } = terms;
-    const { idle, deadline: until, suspectAfter } = spans;
-    const left = until === undefined ? Moment.never : Moment.left(until);
-    if (until !== undefined) this.late = Timer.after(left, this.onLate);
-    // A silence that would outlast the time of the request is ended by that.
-    if (idle < left) this.quiet = Timer.after(idle, this.onQuiet);
-    if (suspectAfter !== undefined) this.suspicion = Timer.after(suspectAfter, watch.onSilence);
-    this.forget = watch.onLost(() => this.abort('reset', 'the server does not answer any more'));
+    const { limits, observer } = terms;
+    const { idle, deadline, suspectAfter } = limits;
+    const left = deadline === undefined ? Moment.never : Moment.left(deadline);
+    if (deadline !== undefined) this.deadlineTimer = Timer.after(left, this.onDeadline);
+    // No idle timer is needed if it would expire after the deadline.
+    if (idle < left) this.idleTimer = Timer.after(idle, this.onIdle);
+    if (suspectAfter !== undefined) this.suspicionTimer = Timer.after(suspectAfter, observer.onSilence);
+    this.unsubscribe = observer.onLost(() => this.abort('reset', 'the server no longer responds'));
   }
 
   start(): void {
@@ -70,12 +78,12 @@
   }
 
   write(chunk: Buffer): boolean {
-    const { observer: watch, events, chunks } = this.terms;
+    const { observer, events, chunks } = this.terms;
     const now = Moment.now();
-    this.quiet?.again();
-    this.suspicion?.again();
-    if (this.last !== undefined) watch.onEvent(now - this.last);
-    this.last = now;
+    this.idleTimer?.again();
+    this.suspicionTimer?.again();
+    if (this.lastData !== undefined) observer.onEvent(now - this.lastData);
+    this.lastData = now;
     const whole = events ? events.push(chunk) : chunk;
     if (whole === undefined) return true;
     this.cork();
@@ -85,7 +93,7 @@
   end(): void {
     const { chunks, events, outgoing } = this.terms;
     this.isEnded = true;
-    this.rest();
+    this.stopTimers();
     chunks.end(events?.remainder(), () => this.resolve('done'));
     outgoing.once('close', () => this.resolve(outgoing.writableFinished ? 'done' : 'client'));
   }
@@ -94,10 +102,10 @@
     const { outgoing } = this.terms;
     outgoing.removeListener('drain', this.onDrain);
     outgoing.removeListener('close', this.onClose);
-    this.finish(outgoing.destroyed ? 'client' : this.isLate ? 'late' : 'server');
+    this.finish(outgoing.destroyed ? 'client' : this.isPastDeadline ? 'late' : 'server');
   }
 
-  /** Holds what is written until the end of this turn, so that the end of a body goes out with its last piece. */
+  /** Buffers writes until the end of this turn, so that the end of a body is sent together with its last chunk. */
   private cork(): void {
     if (this.isCorked) return;
     this.isCorked = true;
@@ -112,20 +120,20 @@
     this.terms.outgoing.uncork();
   };
 
-  private readonly onQuiet = (): void => this.abort('timeout', 'the stream fell silent');
+  private readonly onIdle = (): void => this.abort('timeout', 'idle timeout: the server sent no data');
 
-  private readonly onLate = (): void => {
-    this.isLate = true;
-    this.abort('timeout', 'the time of the request is over');
+  private readonly onDeadline = (): void => {
+    this.isPastDeadline = true;
+    this.abort('timeout', 'the request deadline has passed');
   };
 
   private readonly onDrain = (): void => {
-    this.quiet?.again();
+    this.idleTimer?.again();
     this.flow?.resume();
   };
 
   private readonly onClose = (): void => {
-    if (!this.isEnded) this.abort('left', 'the client left');
+    if (!this.isEnded) this.abort('left', 'the client closed the connection');
     this.finish(this.terms.outgoing.writableFinished ? 'done' : 'client');
   };
 
@@ -133,21 +141,22 @@
     this.terms.body.abort(Failure.of(code, text));
   }
 
-  private finish(how: StreamPump): void {
+  private finish(result: StreamPump): void {
     if (this.isEnded) return;
     this.isEnded = true;
-    this.rest();
-    this.resolve(how);
+    this.stopTimers();
+    this.resolve(result);
   }
 
-  private rest(): void {
-    this.quiet?.stop();
-    this.late?.stop();
-    this.suspicion?.stop();
-    this.forget();
+  private stopTimers(): void {
+    this.idleTimer?.stop();
+    this.deadlineTimer?.stop();
+    this.suspicionTimer?.stop();
+    this.unsubscribe();
   }
 }
 
+/** Runs transfers of response bodies. */
 export const StreamPump = {
   run: (terms: StreamPump.Options): Promise<StreamPump> =>
     new Promise((resolve) => new Pump(terms, resolve).start()),
--- a/src/proxy/stream-response.ts
+++ b/src/proxy/stream-response.ts
@@ -1,8 +1,8 @@
 /**
- * The answer that a caller gets from a server's successful head on. The head goes out together with what follows it in
- * the same turn of the loop, and by itself where nothing does; from then on nothing is tried again. A stream of events
- * that breaks may be taken up at another server where its rule allows; any other that breaks off ends the caller's
- * connection abruptly, so that a broken one can never be taken for a whole one.
+ * Relays a successful response of a server to the client. The response headers are sent together with body data that
+ * arrives in the same turn of the event loop, or alone if there is none; from then on the request is not retried. A broken
+ * event stream may be resumed on another server if its rule allows this. Any other broken response ends with an abrupt
+ * close of the client connection, so that the client never mistakes a truncated response for a complete one.
  */
 import type { ServerResponse } from 'node:http';
 import { Moment } from '../kinds/moment.js';
@@ -16,59 +16,60 @@
 import { Reset } from './reset.js';
 import { StreamPump } from './stream-pump.js';
 
-/** An answer that has begun. */
+/** A response whose headers have been sent. */
 export type StreamResponse = { readonly relay: () => Promise<StreamPump> };
 
-type Streamed = Extract<Trial, { kind: 'stream' }>;
+type ServerStream = Extract<Trial, { kind: 'stream' }>;
 type Headers = Readonly<Record<string, string>>;
 
-/** Servers stop by themselves when the time that they were told is over; this long after it they are cut. */
-const lateness = 200;
+/** Grace period after the deadline, in milliseconds: servers know the deadline and should stop by themselves. */
+const deadlineGraceMs = 200;
 
-const isEventStream = ({ headers }: Streamed): boolean =>
+const isEventStream = ({ headers }: ServerStream): boolean =>
   String(headers['content-type'] ?? '').startsWith('text/event-stream') &&
   (headers['content-encoding'] ?? 'identity') === 'identity';
 
-/** Ends an answer so that it never looks whole: one that nothing but its connection delimits needs a reset. */
-const cut = (outgoing: ServerResponse, { isDelimited }: BodyWriter): void => {
+/** Aborts a response so that it looks truncated; one without a length or chunks needs a TCP reset for that. */
+const abortResponse = (outgoing: ServerResponse, { isDelimited }: BodyWriter): void => {
   if (isDelimited || !outgoing.socket) outgoing.destroy();
   else Reset.now(outgoing.socket);
 };
 
-const discard = async ({ connection, job }: Streamed): Promise<void> => {
+const discard = async ({ connection, job }: ServerStream): Promise<void> => {
   await connection.destroy();
   job.end();
 };
 
-class Answer {
+class ResponseRelay {
   private readonly events: EventSplitter | undefined;
   private readonly chunks: BodyWriter;
-  private readonly spans: StreamPump.Limits;
+  private readonly limits: StreamPump.Limits;
 
   constructor(
     private readonly needs: Filter.Dependencies,
     private readonly call: Call,
-    private trial: Streamed,
+    private trial: ServerStream,
     private sent: number,
-    named: Headers,
+    extraHeaders: Headers,
   ) {
     const rule = Call.require(call, 'rule');
     const isStream = isEventStream(trial);
     this.events = rule.isResumable && isStream ? EventSplitter.of(call.requestInfo.lastEventId) : undefined;
-    this.spans = {
+    this.limits = {
       idle: Call.require(call, 'timeouts').idle,
       deadline: call.dialect.deadlineEndsResponses
-        ? Moment.after(lateness, Call.require(call, 'deadline'))
+        ? Moment.after(deadlineGraceMs, Call.require(call, 'deadline'))
         : undefined,
       suspectAfter: isStream ? Suspicion.pauseAfter(rule.gap) : undefined,
     };
-    this.writeHead(named);
+    this.writeHead(extraHeaders);
     this.chunks = BodyWriter.of(call.outgoing);
   }
 
-  private writeHead(named: Headers): void {
+  private writeHead(extraHeaders: Headers): void {
     const { outgoing, dialect } = this.call;
-    const head = { ...Hygiene.down(this.trial.headers, dialect), ...named };
+    const head = { ...Hygiene.down(this.trial.headers, dialect), ...extraHeaders };
+    // A resumed stream may differ in length from the first response.
     if (this.events) delete head['content-length'];
     outgoing.cork();
     outgoing.writeHead(this.trial.status, head);
@@ -78,44 +79,44 @@
 
   async relay(): Promise<StreamPump> {
     const { outgoing } = this.call;
-    let how = await this.passOne();
-    while (how === 'server' && (await this.resume())) how = await this.passOne();
-    if (how === 'done' || how === 'client') return how;
-    cut(outgoing, this.chunks);
-    return outgoing.writableFinished ? 'done' : how;
+    let result = await this.relayBody();
+    while (result === 'server' && (await this.resume())) result = await this.relayBody();
+    if (result === 'done' || result === 'client') return result;
+    abortResponse(outgoing, this.chunks);
+    return outgoing.writableFinished ? 'done' : result;
   }
 
-  /** Passes what one server sends, and gives its connection back or ends it. */
-  private async passOne(): Promise<StreamPump> {
-    const { needs, call, trial, chunks, events, spans } = this;
+  /** Relays the body from one server, then returns its connection to the pool or closes it. */
+  private async relayBody(): Promise<StreamPump> {
+    const { needs, call, trial, chunks, events, limits } = this;
     const { outgoing } = call;
-    const how = await StreamPump.run({
+    const result = await StreamPump.run({
       body: trial.body,
       outgoing,
       chunks,
       events,
-      limits: spans,
-      observer: this.watch(),
+      limits,
+      observer: this.createObserver(),
     });
     trial.job.end();
-    if (how === 'done') {
+    if (result === 'done') {
       needs.pool.give(trial.connection);
-      return how;
+      return result;
     }
     await trial.connection.destroy();
-    if (how === 'server') this.tellBroken();
-    return outgoing.destroyed ? 'client' : how;
+    if (result === 'server') this.reportBroken();
+    return outgoing.destroyed ? 'client' : result;
   }
 
-  private tellBroken(): void {
+  private reportBroken(): void {
     const { needs, call, trial } = this;
     const { server, group } = trial.pick;
     needs.ejector.bad(server, group);
     needs.failures.see(server.instance, 1);
-    needs.note('stream broken', { request: call.id, by: server.instance });
+    needs.note('response stream broken', { request: call.id, by: server.instance });
   }
 
-  private watch(): StreamPump.Observer {
+  private createObserver(): StreamPump.Observer {
     const { needs, trial, events } = this;
     const { server } = trial.pick;
     return {
@@ -128,7 +129,7 @@
     };
   }
 
-  /** Whether another server goes on with the stream. */
+  /** Tries to resume the stream on another server; returns whether one continues it. */
   private async resume(): Promise<boolean> {
     const { call, events } = this;
     if (!events?.canResume() || !call.resume) return false;
@@ -145,14 +146,16 @@
   }
 }
 
+/** Starts or discards the relay of a server response. */
 export const StreamResponse = {
+  /** Closes the connection of a response that is not used. */
   discard,
-  /** Commits to the server's answer: its head goes out. */
+  /** Commits to the response of the server and sends its headers. */
   begin: (
     needs: Filter.Dependencies,
     call: Call,
-    trial: Streamed,
+    trial: ServerStream,
     sent: number,
-    named: Headers,
-  ): StreamResponse => new Answer(needs, call, trial, sent, named),
+    extraHeaders: Headers,
+  ): StreamResponse => new ResponseRelay(needs, call, trial, sent, extraHeaders),
 };
