--- a/src/proxy/cache-salt.ts
+++ b/src/proxy/cache-salt.ts
@@ -1,14 +1,20 @@
-// What a server is sent of a call behind a wall: the salt where the server's group wants it, and nothing that the
-// caller itself put where any group takes a salt. Without walls in the manifest a call goes as it came.
+/**
+ * Applies the cache isolation of a tenant to the requests sent to servers: adds the salt if the server group expects one,
+ * and removes client fields and headers of any name that some group uses for the salt. If the manifest configures no
+ * isolation, requests are forwarded unchanged.
+ */
 import type { Wall } from '../manifest/wall.js';
 import type { Call } from './call.js';
 
+/** The request body sent to a server. */
 export type CacheSalt = { readonly body: Buffer | null };
 
+/** Rewrites request bodies and headers for cache isolation. */
 export const CacheSalt = {
-  /** A body that no salt can be written into. */
+  /** Whether the call has a body that is not a JSON object, so that no salt can be added to it. */
   hasOpaqueBody: ({ body, prompt }: Call): boolean =>
     body !== undefined && body.length > 0 && prompt?.json === undefined,
+  /** Returns the body for a server, with the model of the rule step and the salt of the tenant. */
   body({ wall, body, prompt, compiled }: Call, model: string | undefined, way: Wall.Way | undefined) {
     const json = prompt?.json;
     if (!json || (model === undefined && !wall)) return body ?? null;
@@ -22,6 +28,7 @@
       }),
     );
   },
+  /** Returns the headers for a server, with the salt of the tenant. */
   headers(
     { wall, compiled }: Call,
     way: Wall.Way | undefined,
--- a/src/proxy/responses.ts
+++ b/src/proxy/responses.ts
@@ -1,11 +1,11 @@
 /**
- * Our own answers, OpenAI-style. Each carries the request's id and says whether the request ran: no means it did not and
- * never will; unknown means that it may have.
+ * Error responses of the proxy itself. Each carries the request id and states whether the request ran: "no" means that it
+ * did not and never will; "unknown" means that it may have.
  */
 import { Stamp } from '../kinds/stamp.js';
 import type { Call } from './call.js';
 
-/** An answer of this proxy's own. */
+/** An error response of the proxy itself. */
 export type Responses = {
   readonly status: 400 | 401 | 403 | 404 | 408 | 413 | 429 | 500 | 502 | 503 | 504;
   readonly code: string;
@@ -28,29 +28,34 @@
   return 'answered';
 };
 
-/** When a caller may come back to a proxy that can't take its request just now, in milliseconds. */
-const comeBackAfter = 1000;
+/** Retry-After of temporary refusals, in milliseconds. */
+const retryAfterMs = 1000;
 
+/** Writes responses of the proxy itself. */
 export const Responses = {
+  /** Answers with a JSON body. */
   json: writeJson,
-  /** A refusal for now of what another moment may serve. */
+  /** A temporary refusal: a later retry may succeed. */
   unavailable: (code: string, text: string): Responses => ({
     status: 503,
     code,
     text,
-    retryAfter: comeBackAfter,
+    retryAfter: retryAfterMs,
   }),
-  bodyTooLong: (longest: number): Responses => ({
+  /** The refusal of a body above the size limit. */
+  bodyTooLong: (maxBytes: number): Responses => ({
     status: 413,
     code: 'body_too_long',
-    text: `the body is longer than ${longest} bytes`,
+    text: `the request body exceeds ${maxBytes} bytes`,
   }),
+  /** Answers with an error; if a response has already started, closes the connection instead. */
   refuse(call: Call, response: Responses): 'answered' {
     const { id, compiled, dialect, incoming, outgoing } = call;
     if (outgoing.headersSent) {
       outgoing.destroy();
       return 'answered';
     }
+    // The rest of the request body was not read, so the connection cannot be reused.
     const isClosing = !incoming.complete;
     const { status, headers, body } = dialect.errorResponse({
       id,
--- a/src/proxy/stall.ts
+++ b/src/proxy/stall.ts
@@ -1,36 +1,41 @@
-// A process that was frozen must not send old work. When the event loop has just resumed after a gap,
-// what happened meanwhile (a client that left, timers that rang) is still waiting to be handled, so
-// sending first lets the loop turn until it has been; also when the beat was the first to be handled.
-
+/**
+ * Detects stalls of the event loop, so that a process that was frozen does not send outdated requests. Right after a
+ * stall, events that happened meanwhile (client disconnects, expired timers) are still queued; `settle` lets the event
+ * loop process them first, also if the check timer itself was the first event to be processed.
+ */
 import { Moment } from '../kinds/moment.js';
 import { Timer } from '../kinds/timer.js';
 
+/** Detects stalls of the event loop. */
 export type Stall = { readonly settle: () => Promise<void>; readonly stop: () => void };
 
-const beat = 200;
-const gap = 300;
+/** Interval of the check timer, in milliseconds. */
+const checkIntervalMs = 200;
+/** Time between two checks that counts as a stall, in milliseconds. */
+const stallThresholdMs = 300;
 
-const turns = async (): Promise<void> => {
+const runEventLoop = async (): Promise<void> => {
   for (let count = 0; count < 3; count += 1) await new Promise<void>((resolve) => setImmediate(resolve));
 };
 
+/** Creates stall detectors. */
 export const Stall = {
   of(): Stall {
-    let last = Moment.now();
-    let hasJustWoken = false;
-    const wake = async () => {
-      hasJustWoken = true;
-      await turns();
-      hasJustWoken = false;
+    let lastCheck = Moment.now();
+    let isRecovering = false;
+    const recover = async () => {
+      isRecovering = true;
+      await runEventLoop();
+      isRecovering = false;
     };
-    const beats = Timer.every(beat, () => {
-      if (Moment.since(last) >= gap) void wake();
-      last = Moment.now();
+    const checkTimer = Timer.every(checkIntervalMs, () => {
+      if (Moment.since(lastCheck) >= stallThresholdMs) void recover();
+      lastCheck = Moment.now();
     });
     return {
-      stop: () => beats.stop(),
+      stop: () => checkTimer.stop(),
       async settle() {
-        if (hasJustWoken || Moment.since(last) >= gap) await turns();
+        if (isRecovering || Moment.since(lastCheck) >= stallThresholdMs) await runEventLoop();
       },
     };
   },
