--- a/test/request-client.test.ts
+++ b/test/request-client.test.ts
@@ -1,6 +1,6 @@
-// What clients may do, with a client that writes raw bytes in front of the real request path: each gets one defined
-// answer or an end, nothing of it reaches a server changed, no second request is smuggled in, and who has gone
-// leaves nothing behind.
+// Behaviour towards unusual clients, with a client that writes raw bytes to the real request path. Guards against
+// request smuggling, requests altered on the way, and resources left behind by clients that disconnect: every request
+// gets one defined response or a closed connection.
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 import { Lab } from '../tools/fuzz/lab.js';
@@ -13,13 +13,13 @@
 
 const mine: RequestKit.Script = (arrival) => void reply(arrival, `body of ${arrival.headers['attempt-id']}`);
 const silent: RequestKit.Script = () => {};
-const until = async (isSo: () => boolean): Promise<void> => {
-  while (!isSo()) await new Promise<void>((resolve) => setImmediate(resolve));
+const until = async (condition: () => boolean): Promise<void> => {
+  while (!condition()) await new Promise<void>((resolve) => setImmediate(resolve));
 };
 const head = (lines: readonly string[]) => `${lines.join('\r\n')}\r\n\r\n`;
 const common = ['host: h.example', 'attempt-id: c1'];
 
-describe('what a client sends that is no plain request', () => {
+describe('an unusual request', () => {
   const answerTo = async (bytes: string) => {
     const server = await serve(mine);
     const lab = await start({ servers: [server] });
@@ -27,24 +27,29 @@
     return { answer, arrivals: server.arrivals };
   };
   const refused: Readonly<Record<string, string>> = {
-    'a length and chunks': head([
+    'a content length and chunked encoding': head([
       'POST /once/a HTTP/1.1',
       ...common,
       'content-length: 5',
       'transfer-encoding: chunked',
     ]),
-    'two lengths': head(['POST /once/a HTTP/1.1', ...common, 'content-length: 5', 'content-length: 6']),
-    'a length that is a list': head(['POST /once/a HTTP/1.1', ...common, 'content-length: 5, 5']),
-    'a length with a sign': head(['POST /once/a HTTP/1.1', ...common, 'content-length: +5']),
-    'an unknown coding': head(['POST /once/a HTTP/1.1', ...common, 'transfer-encoding: chunked, x']),
+    'two content lengths': head([
+      'POST /once/a HTTP/1.1',
+      ...common,
+      'content-length: 5',
+      'content-length: 6',
+    ]),
+    'a list as content length': head(['POST /once/a HTTP/1.1', ...common, 'content-length: 5, 5']),
+    'a signed content length': head(['POST /once/a HTTP/1.1', ...common, 'content-length: +5']),
+    'an unknown transfer coding': head(['POST /once/a HTTP/1.1', ...common, 'transfer-encoding: chunked, x']),
     'a space before the colon': head(['POST /once/a HTTP/1.1', ...common, 'content-length : 5']),
-    'a bare line end': `POST /once/a HTTP/1.1\nhost: h.example\nattempt-id: c1\ncontent-length: 0\n\n`,
+    'bare line feeds': `POST /once/a HTTP/1.1\nhost: h.example\nattempt-id: c1\ncontent-length: 0\n\n`,
     'an absolute target': head(['GET http://other.example/once/a HTTP/1.1', ...common]),
-    'a target of the own host that is absolute': head(['GET http://h.example/once/a HTTP/1.1', ...common]),
-    'the asterisk': head(['OPTIONS * HTTP/1.1', ...common]),
+    'an absolute target with the same host': head(['GET http://h.example/once/a HTTP/1.1', ...common]),
+    'an asterisk target': head(['OPTIONS * HTTP/1.1', ...common]),
     'two hosts': head(['GET /once/a HTTP/1.1', ...common, 'host: other.example']),
     'no host': head(['GET /once/a HTTP/1.1', 'attempt-id: c1']),
-    'a host that is none': head(['GET /once/a HTTP/1.1', 'host: a/b?c', 'attempt-id: c1']),
+    'an invalid host': head(['GET /once/a HTTP/1.1', 'host: a/b?c', 'attempt-id: c1']),
   };
   for (const [what, bytes] of Object.entries(refused))
     it(`is refused and reaches no server: ${what}`, async () => {
@@ -54,34 +59,34 @@
       assert.equal(answer.status, 400);
       assert.deepEqual(arrivals, []);
     });
-  it('is refused with 431 when its head is too long', async () => {
+  it('is refused with 431 if its headers are too large', async () => {
     const { answer, arrivals } = await answerTo(request('/once/a', { 'x-long': 'y'.repeat(40_000) }));
     assert.equal(answer.status, 431);
     assert.deepEqual(arrivals, []);
   });
-  it('is refused with 417 when it expects what nobody knows', async () => {
+  it('is refused with 417 if its expectation is unknown', async () => {
     const { answer, arrivals } = await answerTo(request('/once/a', { expect: 'the-unexpected' }));
     assert.deepEqual([answer.status, arrivals.length], [417, 0]);
   });
-  it('is served when it expects to be told to go on, and the server is not told', async () => {
+  it('is served if it expects 100-continue, which is not forwarded', async () => {
     const { answer, arrivals } = await answerTo(request('/once/a', { expect: '100-continue' }));
     assert.deepEqual([answer.status, arrivals[0]?.headers.expect], [200, undefined]);
   });
-  it('is served as a plain request when it asks for an upgrade, which no server sees', async () => {
+  it('is served without an upgrade if it asks for one, which is not forwarded', async () => {
     const { answer, arrivals } = await answerTo(
       request('/once/a', { connection: 'upgrade', upgrade: 'websocket' }),
     );
     assert.deepEqual([answer.status, answer.end], [200, 'whole']);
     assert.equal(arrivals[0]?.headers.upgrade, undefined);
   });
-  it('loses no header that names it by listing that among those of one connection', async () => {
+  it('keeps its identifying headers even if it lists them in the Connection header', async () => {
     const listed = { connection: 'attempt-id, model, host', model: 'm', 'attempt-id': 'c2' };
     const { answer, arrivals } = await answerTo(request('/once/a', listed));
     assert.equal(answer.status, 200);
     const { host, model } = arrivals[0]!.headers;
     assert.deepEqual([arrivals[0]!.headers['attempt-id'], host, model], ['c2', 'h.example', 'm']);
   });
-  it('goes where its path says as it is written, and arrives unchanged', async () => {
+  it('is routed by its literal path and forwarded unchanged', async () => {
     const target = '/once/%2e%2e/safe/../x%2f?q=%20&q=..//';
     const { arrivals } = await answerTo(request(target));
     assert.equal(arrivals[0]?.target, target);
@@ -90,14 +95,14 @@
       assert.deepEqual([other, answer.status, none.length], [other, 404, 0]);
     }
   });
-  it('has a folded header refused, or told to the server as one line', async () => {
+  it('has a folded header refused or forwarded as one line', async () => {
     const { answer, arrivals } = await answerTo(
       head(['GET /once/a HTTP/1.1', ...common, 'x-folded: one', ' two: three']),
     );
     assert.ok(answer.status === 400 || arrivals[0]?.headers['x-folded'] === 'one two: three');
     assert.ok(!arrivals[0]?.head.includes('\r\n '));
   });
-  it('gets the head alone when it asks with HEAD', async () => {
+  it('gets only headers for HEAD', async () => {
     const server = await serve(({ socket, headers }) =>
       socket.write(RawHttp.answer(200, { 'attempt-id': headers['attempt-id']!, 'content-length': '7' })),
     );
@@ -112,7 +117,7 @@
 });
 
 describe('a client that', () => {
-  it('pipelines gets its answers in order', async () => {
+  it('pipelines requests gets the responses in order', async () => {
     const held: RequestKit.Arrival[] = [];
     const server = await serve((arrival) => void held.push(arrival));
     const lab = await start({ servers: [server] });
@@ -128,7 +133,7 @@
     assert.ok(text.indexOf('body of p1') < text.indexOf('body of p2'));
     socket.destroy();
   });
-  it('pipelines and leaves leaves nothing behind', { timeout: 10_000 }, async () => {
+  it('pipelines requests and disconnects leaves nothing behind', { timeout: 10_000 }, async () => {
     const server = await serve(silent);
     const lab = await start({ servers: [server] });
     const socket = await Lab.connect(lab.address);
@@ -139,7 +144,7 @@
     await until(() => server.sockets.size === 0 && lab.active() === 0);
     assert.ok(performance.now() - left < 500, 'the servers stop within half a second');
   });
-  it('closes its half of the connection gets an answer or an end, and the request leaves', async () => {
+  it('half-closes the connection gets a response or a close, and its request is cancelled', async () => {
     const server = await serve(silent);
     const lab = await start({ servers: [server] });
     const socket = await Lab.connect(lab.address);
@@ -149,7 +154,7 @@
     await until(() => server.sockets.size === 0 && lab.active() === 0);
     assert.notEqual((await answer).end, 'whole');
   });
-  it('stops in the middle of its body gets 408 when its time is over, and reaches no server', async () => {
+  it('stops in the middle of its body gets 408 at the deadline, and reaches no server', async () => {
     const server = await serve(mine);
     const lab = await start({ servers: [server] });
     const whole = request('/once/a', { 'remaining-time': '200' }, 'a body that stops');
@@ -159,7 +164,7 @@
     assert.ok(performance.now() - began < 700);
     assert.equal(server.arrivals.length, 0);
   });
-  it('leaves at any byte leaves nothing behind, and no request that it did not finish is run', async () => {
+  it('disconnects after any byte leaves nothing behind, and no incomplete request runs', async () => {
     const server = await serve(mine);
     const lab = await start({ servers: [server] });
     const whole = request('/once/a', {}, 'asked');
@@ -175,7 +180,7 @@
       ['/once/last'],
     );
   });
-  it('leaves in the middle of a stream ends it at the server within half a second', {
+  it('disconnects during a stream ends it at the server within half a second', {
     timeout: 10_000,
   }, async () => {
     const server = await serve((arrival) => {
@@ -195,14 +200,14 @@
   });
 });
 
-describe('the time that a route has', () => {
+describe('the request deadline', () => {
   const short = (runs: string, total: number) =>
     RequestKit.document({}, [
       RequestKit.rule('timed', runs, {
         timeouts: { connect: total, first_byte: total, per_try: total, total, idle: total },
       }),
     ]);
-  it('ends a request that no server answers, with a final answer within half a second', async () => {
+  it('ends a request that no server answers within half a second', async () => {
     for (const runs of ['once', 'repeatable']) {
       const servers = [await serve(silent), await serve(silent)];
       const lab = await start({ servers, document: short(runs, 300) });
@@ -214,7 +219,7 @@
       await RequestKit.end();
     }
   });
-  it('ends an answer that goes on without an end, which does not look whole', {
+  it('ends an endless response, which is reported as truncated', {
     timeout: 10_000,
   }, async () => {
     const server = await serve((arrival) => {
@@ -229,7 +234,7 @@
     assert.equal(answer.end, 'cut');
     assert.ok(performance.now() - began < 800);
   });
-  it('is told to servers as what is left, less on each further try', async () => {
+  it('is sent to servers as the remaining time, less on each retry', async () => {
     const times: number[] = [];
     const began = performance.now();
     const fail: RequestKit.Script = (arrival) => {
--- a/test/request-kit.ts
+++ b/test/request-kit.ts
@@ -1,10 +1,11 @@
-// Raw servers and a raw client around the real request path, for the tests of it: one server's script answers each
-// request with bytes of its own, and what arrived is remembered.
+// Test kit for the real request path between a raw client and raw servers: the script of a server answers each request
+// with arbitrary bytes, and the requests that arrived are recorded.
 import type { Socket } from 'node:net';
 import { PlatformDialect } from '../platform/dialect.js';
 import { Lab } from '../tools/fuzz/lab.js';
 import { RawHttp } from '../tools/fuzz/raw-http.js';
 
+/** Types of the scripted servers. */
 export declare namespace RequestKit {
   type Arrival = RawHttp.Request & { readonly socket: Socket; readonly connection: number };
   type Script = (arrival: Arrival) => void;
@@ -12,7 +13,7 @@
 type Arrival = RequestKit.Arrival;
 type Script = RequestKit.Script;
 
-const ends: (() => Promise<unknown>)[] = [];
+const cleanups: (() => Promise<unknown>)[] = [];
 
 const group = (more: object = {}) => ({
   kind: 'plain',
@@ -38,29 +39,29 @@
   rules: readonly object[] = [rule('once', 'once'), rule('safe', 'repeatable')],
 ) => Lab.document({ g: group(more) }, rules, { body_bytes: 8 * 1024 * 1024 });
 
-/** One server whose script answers each request with raw bytes; what arrived is remembered. */
+/** Starts a server whose script answers each request with raw bytes, and records the requests that arrive. */
 const serve = async (script: Script, onHead: Script = () => {}) => {
   const arrivals: Arrival[] = [];
   const server = await Lab.listen((socket, connection) => {
-    const told = (request: RawHttp.Request): Arrival => ({ ...request, socket, connection });
+    const toArrival = (request: RawHttp.Request): Arrival => ({ ...request, socket, connection });
     RawHttp.readRequests(
       socket,
       (request) => {
-        const arrival = told(request);
+        const arrival = toArrival(request);
         arrivals.push(arrival);
         script(arrival);
       },
-      (request) => onHead(told(request)),
+      (request) => onHead(toArrival(request)),
     );
   });
-  ends.push(server.stop);
+  cleanups.push(server.stop);
   return { ...server, arrivals };
 };
 const start = async (terms: {
   readonly servers: readonly { readonly address: string }[];
   readonly isPlatform?: boolean;
   readonly document?: object;
-  /** Replaces a part of the request path. */
+  /** Replaces a component of the request path. */
   readonly alter?: Lab.Terms['alter'];
 }) => {
   const lab = await Lab.start({
@@ -69,7 +70,7 @@
     servers: terms.servers.map(({ address }, index) => ({ instance: `i-${index}`, group: 'g', address })),
     ...(terms.isPlatform === false ? {} : { dialect: PlatformDialect }),
   });
-  ends.push(lab.stop);
+  cleanups.push(lab.stop);
   return lab;
 };
 const reply = (arrival: Arrival, body: string, more: Record<string, string> = {}, status = 200) =>
@@ -88,6 +89,7 @@
   return answer.finally(() => socket.destroy());
 };
 
+/** Starts proxies and scripted servers, and sends raw requests. */
 export const RequestKit = {
   group,
   rule,
@@ -97,8 +99,8 @@
   reply,
   request,
   ask,
-  /** Ends what the test started. */
+  /** Stops everything that the test started. */
   async end(): Promise<void> {
-    for (const one of ends.splice(0).reverse()) await one();
+    for (const one of cleanups.splice(0).reverse()) await one();
   },
 };
--- a/test/request-path.test.ts
+++ b/test/request-path.test.ts
@@ -1,6 +1,6 @@
-// Answers and the requests they belong to, with servers that write raw bytes behind the real request path: the id
-// that a server echoes, kept connections, surplus bytes, answers that break off, early answers, and who is told
-// what when a try was lost.
+// Matching of responses to requests, with servers that write raw bytes behind the real request path. A response must
+// never reach the wrong request: covers the echoed id, reused connections, surplus bytes, truncated responses, early
+// responses, and what the client is told when an attempt was lost.
 import assert from 'node:assert/strict';
 import { afterEach, describe, it } from 'node:test';
 import { Reset } from '../src/proxy/reset.js';
@@ -13,22 +13,22 @@
 
 afterEach(RequestKit.end);
 
-describe('an answer and its request, on the platform', () => {
-  it('takes an answer without the id for nobody’s: a once request may have run', async () => {
+describe('matching responses to requests, platform dialect', () => {
+  it('rejects a response without the id; a once request may have run', async () => {
     const server = await serve(({ socket }) => socket.write(RawHttp.answer(200, {}, 'whose?')));
     const lab = await start({ servers: [server] });
     const answer = await ask(lab, request('/once/a'));
     assert.deepEqual([answer.status, server.arrivals.length], [502, 1]);
     assert.doesNotMatch(answer.body, /whose/);
   });
-  it('takes no promise without the id either', async () => {
+  it('does not trust a not-executed header in a response without the id', async () => {
     const server = await serve(({ socket }) =>
       socket.write(RawHttp.answer(503, { 'not-executed': 'true' }, 'full')),
     );
     const lab = await start({ servers: [server] });
     assert.deepEqual([(await ask(lab, request('/once/a'))).status, server.arrivals.length], [502, 1]);
   });
-  it('makes a further try of a repeatable request after an answer without the id', async () => {
+  it('retries a repeatable request after a response without the id', async () => {
     let count = 0;
     const script: Script = (arrival) => {
       count += 1;
@@ -40,7 +40,7 @@
     const answer = await ask(lab, request('/safe/a'));
     assert.deepEqual([answer.status, answer.body, count], [200, 'mine', 2]);
   });
-  it('keeps a connection whose answers carry the id', async () => {
+  it('reuses a connection whose responses carry the id', async () => {
     const server = await serve((arrival) => reply(arrival, 'mine'));
     const lab = await start({ servers: [server] });
     for (let index = 0; index < 5; index += 1) assert.equal((await ask(lab, request('/once/a'))).status, 200);
@@ -65,7 +65,7 @@
     },
     [RequestKit.rule('once', 'once'), RequestKit.rule('safe', 'repeatable')],
   );
-/** Answers the question who is there, and hands all else to the script. */
+/** Answers identity checks, and passes all other requests to the script. */
 const withIdentity =
   (script: Script): Script =>
   (arrival) =>
@@ -73,15 +73,15 @@
       ? void arrival.socket.write(RawHttp.answer(200, { 'x-service': 'g' }, '{}'))
       : script(arrival);
 
-describe('an answer and its request, in the product’s own words', () => {
-  it('gives nobody the second answer of a server that echoes nothing', async () => {
+describe('matching responses to requests, product dialect', () => {
+  it('delivers no second response of a server that echoes no id', async () => {
     let count = 0;
     const server = await serve(
       withIdentity(({ socket, connection }) => {
         count += 1;
         const first = server.arrivals.filter((one) => one.connection === connection).length === 2;
         const whole = RawHttp.answer(200, {}, `answer ${count}`);
-        // The second answer of a connection's first request comes once the next request has been read.
+        // The second response to a connection's first request is sent once the next request has been read.
         socket.write(first ? whole : RawHttp.answer(200, {}, 'of another caller') + whole);
       }),
     );
@@ -90,7 +90,7 @@
     for (let index = 0; index < 4; index += 1) seen.push((await ask(lab, request('/once/a'))).body);
     assert.deepEqual(seen, ['answer 1', 'answer 2', 'answer 3', 'answer 4']);
   });
-  it('keeps connections where the group names the header that is echoed, and takes no other answer', async () => {
+  it('reuses connections if the group declares an echoed header, and rejects responses with another id', async () => {
     let count = 0;
     const server = await serve(
       withIdentity(({ socket, headers }) => {
@@ -117,15 +117,15 @@
   });
 });
 
-describe('a further try', () => {
-  it('never goes over a connection that has carried the same id', async () => {
+describe('a retry', () => {
+  it('never uses a connection that has already carried the same id', async () => {
     const refusal = (id: string) => RawHttp.answer(503, { 'attempt-id': id, 'not-executed': 'true' }, 'full');
     let runs = 0;
     const server = await serve((arrival) => {
       const id = arrival.headers['attempt-id'] ?? '';
       const earlier = server.arrivals.filter((one) => one.connection === arrival.connection).length;
       if (earlier > 1 || runs > 0) {
-        // The refusal of the first try comes once more, and this one runs all the same.
+        // The refusal of the first attempt arrives a second time, although this attempt runs.
         runs += 1;
         arrival.socket.write(earlier > 1 ? refusal(id) : RawHttp.answer(200, { 'attempt-id': id }, 'ran'));
       } else if (server.arrivals.length === 1) arrival.socket.write(refusal(id));
@@ -139,20 +139,20 @@
     assert.equal(runs, 1);
     assert.deepEqual([answer.status, answer.body], [200, 'ran']);
   });
-  it('is not made, and no promise passed on, where a server’s 429 does not say that it did not run', async () => {
+  it('is not made, and the status not forwarded, if a server does not state that the request did not run', async () => {
     for (const status of [408, 421, 429, 503]) {
       const server = await serve((arrival) => void reply(arrival, 'busy', {}, status));
       const lab = await start({ servers: [server] });
       const answer = await ask(lab, request('/once/a'));
-      // The group says of 421 that it always means not run.
+      // The group declares that 421 always means not run.
       assert.deepEqual([status, answer.status], [status, status === 421 ? 503 : 502]);
       await RequestKit.end();
     }
   });
 });
 
-describe('bytes of a server that are no plain answer', () => {
-  it('belong to no request when they come after a whole answer', async () => {
+describe('unusual bytes from a server', () => {
+  it('are assigned to no request if they follow a complete response', async () => {
     const surplus = RawHttp.answer(200, {}, 'surplus');
     for (const extra of [surplus, 'junk\r\n', '\r\n\r\njunk']) {
       const server = await serve((arrival) => {
@@ -169,7 +169,7 @@
       await RequestKit.end();
     }
   });
-  it('do not look like a whole answer when an answer of no length is reset', async () => {
+  it('are reported as truncated if a response without a length is reset', async () => {
     const server = await serve((arrival) => {
       const id = arrival.headers['attempt-id'] ?? '';
       arrival.socket.write(`${RawHttp.answer(200, { 'attempt-id': id })}the first part`);
@@ -183,7 +183,7 @@
     socket.write(request('/once/a'));
     assert.equal((await answer).end, 'cut');
   });
-  it('are whole when an answer of no length ends with its connection', async () => {
+  it('are complete if a response without a length ends with its connection', async () => {
     const server = await serve((arrival) => {
       const id = arrival.headers['attempt-id'] ?? '';
       arrival.socket.end(`${RawHttp.answer(200, { 'attempt-id': id })}all of it`);
@@ -192,7 +192,7 @@
     const answer = await ask(lab, request('/once/a'));
     assert.deepEqual([answer.body, answer.end], ['all of it', 'whole']);
   });
-  it('end nothing here when an answer of no length has no bytes, or is given up, or is reset with them', async () => {
+  it('do not crash the proxy if a response without a length is empty, abandoned or reset', async () => {
     const ends: Record<string, (arrival: RequestKit.Arrival) => void> = {
       empty: ({ socket, headers }) =>
         void socket.end(RawHttp.answer(200, { 'attempt-id': headers['attempt-id'] ?? '' })),
@@ -212,7 +212,7 @@
       await RequestKit.end();
     }
   });
-  it('are visibly cut for a caller of HTTP/1.0, which is told no length', async () => {
+  it('are visibly truncated for an HTTP/1.0 client, which gets no length', async () => {
     const server = await serve((arrival) => {
       const id = arrival.headers['attempt-id'] ?? '';
       arrival.socket.write(
@@ -228,13 +228,13 @@
     socket.write(request('/once/a').replace('HTTP/1.1', 'HTTP/1.0'));
     assert.equal((await answer).end, 'cut');
   });
-  it('are lost when a connection closes in the middle of a head', async () => {
+  it('are discarded if a connection closes inside the response headers', async () => {
     const server = await serve(({ socket }) => socket.end('HTTP/1.1 200 OK\r\nattempt-'));
     const lab = await start({ servers: [server] });
     assert.equal((await ask(lab, request('/once/a'))).status, 502);
     assert.equal(server.arrivals.length, 1);
   });
-  it('are passed over when they are an interim answer, and the trailers of an answer are not told on', async () => {
+  it('are skipped if they are an interim response, and trailers are not forwarded', async () => {
     const server = await serve((arrival) => {
       const id = arrival.headers['attempt-id'] ?? '';
       const head = { 'attempt-id': id, 'transfer-encoding': 'chunked', trailer: 'x-sum' };
@@ -249,7 +249,7 @@
       assert.deepEqual([answer.status, answer.body, answer.headers['x-sum']], [200, 'mine', undefined]);
     }
   });
-  it('never meet other bytes where the rest of a body is due after an early answer', {
+  it('never mix with another request while a body is unsent after an early response', {
     timeout: 20_000,
   }, async () => {
     const long = 'b'.repeat(4 * 1024 * 1024);
@@ -270,14 +270,18 @@
     const early = await ask(lab, request('/once/a', {}, long));
     assert.deepEqual([early.status, early.body], [200, 'early']);
     const next = await ask(lab, request('/once/b', {}, 'short'));
-    assert.deepEqual([next.status, next.body], [200, 'whole'], 'it waits for no server that does not read');
+    assert.deepEqual(
+      [next.status, next.body],
+      [200, 'whole'],
+      'does not wait for a server that does not read',
+    );
     for (const one of server.sockets) one.resume();
     const after = await ask(lab, request('/once/c', {}, 'short'));
     assert.equal(after.status, 200);
     for (const one of server.arrivals)
       assert.ok(one.body === long || one.body === 'short', one.body.slice(0, 80));
   });
-  it('reach nobody when they come after the try was given up', async () => {
+  it('reach no client if they arrive after the attempt was abandoned', async () => {
     const late: (() => void)[] = [];
     const server = await serve((arrival) => {
       if (arrival.target === '/once/slow') late.push(() => void reply(arrival, 'too late'));
--- a/test/resuming.test.ts
+++ b/test/resuming.test.ts
@@ -1,5 +1,5 @@
-// Streams that break: a resumable one is taken up at another server within the same answer, with no event missing,
-// doubled, joined or shown by half; any other ends with the caller's connection, and never looks whole.
+// Broken response streams. A resumable stream continues on another server within the same response, without missing,
+// duplicate, merged or partial events; any other broken stream closes the client connection and never looks complete.
 import assert from 'node:assert/strict';
 import type { ServerResponse } from 'node:http';
 import { after, before, beforeEach, describe, it } from 'node:test';
@@ -47,19 +47,19 @@
   Array.from({ length: to - from + 1 }, (_none, index) => event(from + index)).join('');
 const open = (response: ServerResponse, head: Record<string, string> = {}) =>
   response.writeHead(200, { 'content-type': 'text/event-stream', ...head });
-const lastOf = (headers: Record<string, unknown>) => Number(headers['last-event-id'] ?? 0);
-const cutAfter =
+const readLastEventId = (headers: Record<string, unknown>) => Number(headers['last-event-id'] ?? 0);
+const breakAfter =
   (text: string, head: Record<string, string> = {}): Bench.Handle =>
   (_request, response) => {
     open(response, { 'x-run': 'first', ...head });
     response.write(text, () => response.socket?.destroy());
   };
-const goOn: Bench.Handle = (incoming, response) => {
+const continueStream: Bench.Handle = (incoming, response) => {
   open(response, { 'x-run': 'next' });
-  response.end(events(lastOf(incoming.headers) + 1, 6));
+  response.end(events(readLastEventId(incoming.headers) + 1, 6));
 };
 
-describe('streams that break', () => {
+describe('broken streams', () => {
   let bench: Bench;
   let servers: Bench.BackEnd[];
   let script: Bench.Handle[] = [];
@@ -78,7 +78,7 @@
   before(async () => {
     bench = await Bench.start({ manifest, fronts: 2 });
     const handle: Bench.Handle = (incoming, response, body) =>
-      (script.shift() ?? goOn)(incoming, response, body);
+      (script.shift() ?? continueStream)(incoming, response, body);
     servers = await Promise.all(
       ['r1', 'r2', 'r3'].map((instance, index) =>
         bench.backEnd({ instance, group: 'reader', region: regions[index % 2]!, handle }),
@@ -91,21 +91,21 @@
     script = [];
     for (const one of servers) one.reached.length = 0;
   });
-  const earn = async () => {
+  const earnRetryTokens = async () => {
     await Promise.all(Array.from({ length: 20 }, () => call('once')));
     for (const one of servers) one.reached.length = 0;
   };
 
-  it('breaks the caller off without a token for the extra try', async () => {
-    script = [cutAfter(events(1, 3))];
+  it('closes the client connection if no retry token is available', async () => {
+    script = [breakAfter(events(1, 3))];
     const answer = await call('resumable');
     assert.deepEqual([answer.isBroken, answer.text], [true, events(1, 3)]);
     assert.equal(reached().length, 1);
   });
 
-  it('takes a resumable stream up elsewhere after the last whole event, under the head of the first', async () => {
-    await earn();
-    script = [cutAfter(`${events(1, 3)}id: 4\ndata: pie`)];
+  it('resumes on another server after the last complete event, with the headers of the first response', async () => {
+    await earnRetryTokens();
+    script = [breakAfter(`${events(1, 3)}id: 4\ndata: pie`)];
     const answer = await call('resumable');
     assert.deepEqual([answer.status, answer.isBroken, answer.text], [200, false, events(1, 6)]);
     assert.equal(answer.headers['x-run'], 'first');
@@ -115,7 +115,7 @@
     assert.ok(runs.every((run) => run.body === 'prompt' && run.url === '/resumable/x'));
   });
 
-  it('asks the pool for tokens when this proxy holds none', async () => {
+  it('requests tokens from the pool if this proxy holds none', async () => {
     const [own, other] = bench.kit.fronts;
     const metric = async (address: string, name: string): Promise<number> => {
       const text = await (await fetch(`http://${address}/metrics`)).text();
@@ -129,7 +129,10 @@
     while ((await pooled()) < 6 || (await metric(own!.ops, 'tokens')) >= 2)
       await Promise.all(Array.from({ length: 10 }, () => callAt(other!, 'once')));
     const cutFirst: Bench.Handle = (incoming, ...rest) =>
-      (lastOf(incoming.headers) === 0 ? cutAfter(events(1, 3)) : goOn)(incoming, ...rest);
+      (readLastEventId(incoming.headers) === 0 ? breakAfter(events(1, 3)) : continueStream)(
+        incoming,
+        ...rest,
+      );
     script = Array.from({ length: 10 }, () => cutFirst);
     const answers = await Promise.all(Array.from({ length: 5 }, () => call('resumable')));
     assert.deepEqual(
@@ -138,33 +141,33 @@
     );
   });
 
-  it('takes it up twice, and leaves out what a server sends again', async () => {
-    await earn();
+  it('resumes twice, and drops events that a server repeats', async () => {
+    await earnRetryTokens();
     const again: Bench.Handle = (_incoming, response) => {
       open(response);
       response.end(events(1, 6));
     };
-    script = [cutAfter(events(1, 2)), cutAfter(`${events(1, 4)}id: 5`), again];
+    script = [breakAfter(events(1, 2)), breakAfter(`${events(1, 4)}id: 5`), again];
     const answer = await call('resumable');
     assert.deepEqual([answer.isBroken, answer.text], [false, events(1, 6)]);
     assert.equal(reached().length, 3);
   });
 
-  it('does not take up a stream whose events the caller has cannot be told by ids', async () => {
-    await earn();
-    script = [cutAfter('data: one\n\ndata: two\n\n')];
+  it('does not resume a stream whose position is not given by event ids', async () => {
+    await earnRetryTokens();
+    script = [breakAfter('data: one\n\ndata: two\n\n')];
     const bare = await call('resumable');
     assert.deepEqual([bare.isBroken, bare.text], [true, 'data: one\n\ndata: two\n\n']);
     assert.equal(reached().length, 1);
-    script = [cutAfter(`${events(1, 2)}data: between\n\n`)];
+    script = [breakAfter(`${events(1, 2)}data: between\n\n`)];
     const mixed = await call('resumable');
     assert.deepEqual([mixed.isBroken, mixed.text], [true, `${events(1, 2)}data: between\n\n`]);
     assert.equal(reached().length, 2);
   });
 
-  it('takes a stream up after comments, which no run repeats', async () => {
-    await earn();
-    script = [cutAfter(`${events(1, 2)}: still here\n\n`)];
+  it('resumes after comments, which are not repeated', async () => {
+    await earnRetryTokens();
+    script = [breakAfter(`${events(1, 2)}: still here\n\n`)];
     const answer = await call('resumable');
     assert.deepEqual(
       [answer.isBroken, answer.text],
@@ -172,37 +175,37 @@
     );
   });
 
-  it('sends a stream to no more servers than the rule has attempts', async () => {
-    await earn();
-    script = [cutAfter(events(1, 3))];
+  it('sends a stream to no more servers than the rule allows attempts', async () => {
+    await earnRetryTokens();
+    script = [breakAfter(events(1, 3))];
     const answer = await call('single');
     assert.deepEqual([answer.isBroken, answer.text], [true, events(1, 3)]);
     assert.equal(reached().length, 1);
   });
 
-  it('never takes up a once stream', async () => {
-    await earn();
-    script = [cutAfter(events(1, 3))];
+  it('never resumes a once stream', async () => {
+    await earnRetryTokens();
+    script = [breakAfter(events(1, 3))];
     const answer = await call('once');
     assert.deepEqual([answer.isBroken, answer.text], [true, events(1, 3)]);
     assert.equal(reached().length, 1);
   });
 
-  it('passes no length of the first run on, since the answer may come from two', async () => {
-    await earn();
-    script = [cutAfter(events(1, 2), { 'content-length': String(events(1, 6).length) })];
+  it('forwards no content length, since the response may come from two servers', async () => {
+    await earnRetryTokens();
+    script = [breakAfter(events(1, 2), { 'content-length': String(events(1, 6).length) })];
     const answer = await call('resumable');
     assert.deepEqual([answer.isBroken, answer.text], [false, events(1, 6)]);
     assert.equal(answer.headers['content-length'], undefined);
   });
 
-  it('starts after the event that the caller names itself', async () => {
-    await earn();
+  it('starts after the last-event-id of the client', async () => {
+    await earnRetryTokens();
     const again: Bench.Handle = (_incoming, response) => {
       open(response);
       response.end(events(1, 6));
     };
-    script = [cutAfter(events(3, 4)), again];
+    script = [breakAfter(events(3, 4)), again];
     const answer = await call('resumable', { 'last-event-id': '2' });
     assert.deepEqual([answer.isBroken, answer.text], [false, events(3, 6)]);
     assert.deepEqual(
@@ -213,7 +216,7 @@
     );
   });
 
-  it('passes a compressed stream on as it comes', async () => {
+  it('forwards a compressed stream as it arrives', async () => {
     const first = gzipSync(events(1, 2));
     let finish = () => {};
     script = [
@@ -235,12 +238,12 @@
     assert.equal(gunzipSync(Buffer.concat(chunks)).toString(), events(1, 6));
   });
 
-  it('lets the server go when the caller leaves while a stream is taken up', async () => {
-    await earn();
+  it('releases the server if the client disconnects while a stream is being resumed', async () => {
+    await earnRetryTokens();
     const abort = new AbortController();
     const left = new Promise<void>((resolve) => {
       script = [
-        cutAfter(events(1, 2)),
+        breakAfter(events(1, 2)),
         (_incoming, response) => {
           response.once('close', resolve);
           abort.abort();
@@ -257,15 +260,15 @@
     assert.equal((await call('once')).text, events(1, 6));
   });
 
-  it('breaks off an answer cut short by a server that said it would close', async () => {
+  it('aborts a response truncated by a server that announced the close', async () => {
     for (const head of [{ connection: 'close' }, { connection: 'close', 'content-length': '900' }]) {
-      script = [cutAfter(events(1, 3), head)];
+      script = [breakAfter(events(1, 3), head)];
       const answer = await call('once');
       assert.deepEqual([answer.isBroken, answer.text], [true, events(1, 3)]);
     }
   });
 
-  it('does not tell a failure whose body was cut short as a whole one', async () => {
+  it('does not forward an error response with a truncated body as complete', async () => {
     script = [
       (_incoming, response) => {
         response.writeHead(400, { 'content-length': '100' });
