--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -1,5 +1,5 @@
-// What a core that was left behind may say: a refusal made under one term is not confirmed under a later one, an
-// order at a primary out of touch is answered at once, and a core that hears no primary grants no quotas.
+// Responses of a core that has lost contact with the others. Guards against a refusal made under one term being confirmed
+// under a later one, a command that hangs at a primary without a majority, and quota grants by a core without a primary.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Office } from '../src/control/office.js';
@@ -16,7 +16,7 @@
 
 const term = { epoch: Epoch.of(1), formed: Epoch.none, primary: 'a', inSync: ['a'], cores: [] };
 
-const primaryOf = (parts: Partial<Primary>): Primary =>
+const createPrimary = (parts: Partial<Primary>): Primary =>
   ({
     term: () => term,
     state: () => State.empty,
@@ -33,7 +33,7 @@
 
 const proposer = { read: async () => undefined } as unknown as Proposer;
 const refuse = () => Responses.fail(412, 'stale', 'another version is current');
-const takenOf = async (work: Promise<unknown>): Promise<unknown> => {
+const readTaken = async (work: Promise<unknown>): Promise<unknown> => {
   try {
     assert.fail(`answered ${JSON.stringify(await work)}`);
   } catch (error) {
@@ -42,23 +42,23 @@
   }
 };
 
-describe('answers', () => {
-  it('confirms a refusal by the primary that made it, not by one of a later term', async () => {
-    const later = primaryOf({});
-    let leading = primaryOf({
+describe('responses of an isolated core', () => {
+  it('confirms a refusal only with the primary that made it, not with one of a later term', async () => {
+    const later = createPrimary({});
+    let leading = createPrimary({
       async confirm() {
         leading = later;
         return false;
       },
     });
     const office = Office.of({ leading: () => leading, proposer });
-    assert.equal(await takenOf(office.change(refuse, refuse)), 'no');
+    assert.equal(await readTaken(office.change(refuse, refuse)), 'no');
     assert.equal((await office.change(refuse, refuse)).status, 412);
   });
 
-  it('answers an order at once when no majority has been in touch', async () => {
+  it('answers a command at once if no majority has been in contact', async () => {
     let isAsked = false;
-    const primary = primaryOf({
+    const primary = createPrimary({
       confirmedAt: () => Moment.past,
       commit: () => {
         isAsked = true;
@@ -67,16 +67,16 @@
     });
     const office = Office.of({ leading: () => primary, proposer });
     const began = Moment.now();
-    assert.equal(await takenOf(office.change(refuse, refuse)), 'no');
+    assert.equal(await readTaken(office.change(refuse, refuse)), 'no');
     assert.equal(isAsked, true);
     assert.ok(Moment.since(began) < 3000);
     isAsked = false;
     const again = Moment.now();
-    assert.equal(await takenOf(office.change(refuse, refuse)), 'no');
+    assert.equal(await readTaken(office.change(refuse, refuse)), 'no');
     assert.deepEqual([isAsked, Moment.since(again) < 100], [false, true]);
   });
 
-  it('grants quotas only while a primary is heard of', () => {
+  it('grants quotas only while in contact with a primary', () => {
     let isInTouch = false;
     const answered: string[] = [];
     const budget = BudgetDuty.of({
--- a/test/edge.test.ts
+++ b/test/edge.test.ts
@@ -1,4 +1,4 @@
-// The edge: every refusal of ours, homes and spill, header hygiene, and the identity of servers.
+// The client side of the proxy: refusals, home regions and spill, header filtering, and verification of server identity.
 import assert from 'node:assert/strict';
 import { connect } from 'node:net';
 import { after, before, describe, it } from 'node:test';
@@ -32,12 +32,12 @@
     });
     await bench.list([a, b, c, plain]);
   });
-  const earn = async () => {
+  const earnRetryTokens = async () => {
     await Promise.all(Array.from({ length: 40 }, () => bench.chat('once')));
   };
   after(() => bench.stop());
 
-  const drops = async (
+  const expectRefusal = async (
     wanted: { status: number; code: string },
     path: string,
     body: unknown,
@@ -57,41 +57,47 @@
     );
   };
 
-  it('drops a missing or unknown key with 401', async () => {
-    await drops(
+  it('refuses a missing or unknown key with 401', async () => {
+    await expectRefusal(
       { status: 401, code: 'invalid_api_key' },
       chat,
       { model: 'once' },
       { authorization: 'Bearer nobody' },
     );
-    await drops({ status: 401, code: 'invalid_api_key' }, '/nowhere', undefined, { authorization: '' });
+    await expectRefusal({ status: 401, code: 'invalid_api_key' }, '/nowhere', undefined, {
+      authorization: '',
+    });
   });
-  it('drops what no rule takes with 404', async () => {
-    await drops({ status: 404, code: 'no_rule' }, chat, { model: 'unheard-of' });
-    await drops({ status: 404, code: 'no_rule' }, '/nowhere', undefined);
+  it('refuses a request that no rule matches with 404', async () => {
+    await expectRefusal({ status: 404, code: 'no_rule' }, chat, { model: 'unheard-of' });
+    await expectRefusal({ status: 404, code: 'no_rule' }, '/nowhere', undefined);
   });
-  it('drops malformed JSON with 400', () => drops({ status: 400, code: 'bad_json' }, chat, '{"model":'));
-  it('drops a body over the limit with 413', () =>
-    drops({ status: 413, code: 'body_too_long' }, chat, { model: 'once', messages: 'x'.repeat(30_000) }));
-  it('drops an unknown home with 400 and never guesses', () =>
-    drops({ status: 400, code: 'unknown_home' }, chat, { model: 'once' }, { 'x-home': 'atlantis' }));
-  it('drops a home that is not the team’s with 403', () =>
-    drops({ status: 403, code: 'forbidden_home' }, chat, { model: 'once' }, { 'x-home': 'c' }));
-  it('drops malformed timeouts with 400', () =>
-    drops(
+  it('refuses malformed JSON with 400', () =>
+    expectRefusal({ status: 400, code: 'bad_json' }, chat, '{"model":'));
+  it('refuses a body above the limit with 413', () =>
+    expectRefusal({ status: 413, code: 'body_too_long' }, chat, {
+      model: 'once',
+      messages: 'x'.repeat(30_000),
+    }));
+  it('refuses an unknown home with 400, without a fallback', () =>
+    expectRefusal({ status: 400, code: 'unknown_home' }, chat, { model: 'once' }, { 'x-home': 'atlantis' }));
+  it('refuses a home that the team may not use with 403', () =>
+    expectRefusal({ status: 403, code: 'forbidden_home' }, chat, { model: 'once' }, { 'x-home': 'c' }));
+  it('refuses malformed timeouts with 400', () =>
+    expectRefusal(
       { status: 400, code: 'bad_timeouts' },
       chat,
       { model: 'once' },
       { 'bramblebend-timeouts': 'total=soon' },
     ));
 
-  it('keeps homes: spills within them and answers 503 not run when they hold no server', async () => {
+  it('spills only within the home, and answers 503 not run if it has no server', async () => {
     await bench.list([b, c, plain]);
     const spilled = await bench.chat('once');
     assert.equal(spilled.headers['bramblebend-region'], 'b');
     await bench.list([c, plain]);
     const reached = c.reached.length;
-    await drops({ status: 503, code: 'no_server' }, chat, { model: 'once', messages: [] });
+    await expectRefusal({ status: 503, code: 'no_server' }, chat, { model: 'once', messages: [] });
     assert.equal(c.reached.length, reached);
     const theirs = await bench.chat('once', {}, { authorization: 'Bearer another-key' });
     assert.equal(theirs.headers['bramblebend-region'], 'c');
@@ -106,14 +112,14 @@
     );
   });
 
-  it('serves plain lookups by path prefix', async () => {
+  it('routes plain requests by path prefix', async () => {
     const answer = await bench.call('/stock/insulin?size=3');
     assert.equal(answer.status, 200);
     assert.equal(answer.text, '{"count":3}');
     assert.equal(plain.reached.at(-1)?.url, '/stock/insulin?size=3');
   });
 
-  it('lets no key, hop-by-hop or system header of the caller through, and passes the rest on', async () => {
+  it('forwards client headers except credentials, hop-by-hop and reserved headers', async () => {
     await bench.chat(
       'once',
       {},
@@ -133,7 +139,7 @@
     assert.equal(headers['x-trace'], 'kept');
   });
 
-  it('tells a server the time left and the hops made, whatever the caller says', async () => {
+  it('sends servers the remaining time and hop count, regardless of the client headers', async () => {
     await bench.chat(
       'once',
       {},
@@ -144,7 +150,7 @@
     assert.ok(left > 0 && left <= 5000, String(left));
     assert.equal(headers['bramblebend-hops'], '0');
     await bench.list([b, c, plain]);
-    await earn();
+    await earnRetryTokens();
     a.handle = serve;
     await bench.list([a, b, c, plain]);
     const reset: Bench.Handle = (request) => void request.socket.resetAndDestroy();
@@ -154,7 +160,7 @@
     assert.equal(b.reached.at(-1)!.headers['bramblebend-hops'], '1');
   });
 
-  it('bounds a body that comes slowly by the deadline of the rule, as not run', async () => {
+  it('refuses a body that arrives too slowly for the timeout of the rule, as not run', async () => {
     const before = a.reached.length;
     const [host, port] = bench.kit.fronts[0]!.listen.split(':');
     const text = await new Promise<string>((resolve) => {
@@ -174,7 +180,7 @@
     assert.equal(a.reached.length, before);
   });
 
-  it('lets the committed stream of a leaving server run to its end, and sends nothing new there', async () => {
+  it('completes the running stream of a leaving server, and sends it nothing new', async () => {
     let finish: () => void = () => {};
     let isBegun: () => void = () => {};
     const begun = new Promise<void>((resolve) => {
@@ -204,8 +210,8 @@
     await bench.list([a, b, c, plain]);
   });
 
-  it('sends nothing to another service or instance that answers at a listed address', async () => {
-    await earn();
+  it('sends nothing to a different service or instance at a listed address', async () => {
+    await earnRetryTokens();
     const stranger = await bench.backEnd({
       instance: 'x1',
       group: 'llm',
@@ -213,11 +219,11 @@
       handle: serve,
       service: 'a-service-of-somebody',
     });
-    const lying = { ...stranger, instance: 'a7' };
+    const impostor = { ...stranger, instance: 'a7' };
     await bench.list([stranger, b]);
     assert.equal((await bench.chat('once')).headers['bramblebend-region'], 'b');
     stranger.service = 'llm';
-    await bench.list([lying, b]);
+    await bench.list([impostor, b]);
     assert.equal((await bench.chat('once')).headers['bramblebend-region'], 'b');
     assert.equal(stranger.reached.length, 0);
     await bench.list([stranger, b]);
@@ -228,8 +234,8 @@
     await bench.list([a, b, c, plain]);
   });
 
-  it('reaches no other service when an address with kept connections is reused', async () => {
-    await earn();
+  it('reaches no other service if an address with open connections is reused', async () => {
+    await earnRetryTokens();
     const old = await bench.backEnd({ instance: 'a5', group: 'llm', region: 'a', handle: serve });
     await bench.list([old, b]);
     assert.equal((await bench.chat('once')).headers['bramblebend-region'], 'a');
@@ -248,7 +254,7 @@
     await bench.list([a, b, c, plain]);
   });
 
-  it('outlives bad input on every port', async () => {
+  it('survives malformed input on every port', async () => {
     const front = bench.kit.fronts[0]!;
     const core = bench.kit.cores[0]!;
     const send = (address: string, bytes: Buffer) =>
@@ -276,11 +282,11 @@
       head.writeUInt32BE(body.length, 0);
       return Buffer.concat([head, body]);
     };
-    const bend = (whole: Buffer) => {
-      const bent = Buffer.from(whole);
+    const corrupt = (whole: Buffer) => {
+      const corrupted = Buffer.from(whole);
       for (let count = 0; count <= random.below(4); count += 1)
-        bent[random.below(bent.length)] = random.below(256);
-      return bent.subarray(0, 1 + random.below(bent.length));
+        corrupted[random.below(corrupted.length)] = random.below(256);
+      return corrupted.subarray(0, 1 + random.below(corrupted.length));
     };
     const entry = {
       node: 'n',
@@ -301,9 +307,9 @@
     ].map((body) => Frame.encode(Stamp.none, body as unknown as Frame.Body));
     for (let count = 0; count < 60; count += 1) {
       inputs.push(framed(bytes(random.below(200))));
-      inputs.push(Buffer.concat([bodies[0]!, bend(random.pick(bodies)), framed(bytes(9))]));
+      inputs.push(Buffer.concat([bodies[0]!, corrupt(random.pick(bodies)), framed(bytes(9))]));
       inputs.push(
-        bend(Buffer.from(`POST ${chat} HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\n{"a":1}\r\n`)),
+        corrupt(Buffer.from(`POST ${chat} HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\n{"a":1}\r\n`)),
       );
     }
     for (const address of [front.wire, front.feed, core.wire, core.http, front.listen, front.ops])
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -1,5 +1,4 @@
-// The machine's limits of the manifest at the callers' port, and how many connections one server gets from all
-// proxies together.
+// Limits from the manifest on the client port, and the connection limit of one server over all proxies.
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { connect, type Socket } from 'node:net';
@@ -76,9 +75,9 @@
     server.handle = serve;
   });
 
-  it('turn a head that is too long away with 431, by the newest manifest', async () => {
+  it('refuse headers that are too large with 431, by the newest manifest', async () => {
     const headers = { 'x-filler': 'a'.repeat(3000) };
-    const anew = async () => {
+    const requestOnNewConnection = async () => {
       const client = new Client(`http://${listen()}`);
       const answer = await client.request({ path: '/plain/x', method: 'GET', headers });
       await answer.body.dump();
@@ -90,23 +89,23 @@
     const asked = { path: '/plain/x', method: 'GET', headers: { 'x-short': 'a' } } as const;
     const first = await kept.request(asked);
     assert.deepEqual([await first.body.text(), first.headers.connection], ['served', 'keep-alive']);
-    assert.equal(await anew(), 431);
+    assert.equal(await requestOnNewConnection(), 431);
     await put(of({ ...limits, idle: 10_000, header_bytes: 8192 }, 8));
-    assert.equal(await anew(), 200);
+    assert.equal(await requestOnNewConnection(), 200);
     const second = await kept.request(asked);
     assert.deepEqual([await second.body.text(), second.headers.connection], ['served', 'close']);
     await kept.destroy();
     await put(of(limits, 8));
-    assert.equal(await anew(), 431);
+    assert.equal(await requestOnNewConnection(), 431);
   });
 
-  it('turn a body that is too long away with 413, also where a rule allows more', async () => {
+  it('refuse a body that is too large with 413, even if a rule allows more', async () => {
     assert.equal((await call('/plain/x', 'a'.repeat(1000))).status, 200);
     assert.equal((await call('/plain/x', 'a'.repeat(1001))).status, 413);
     assert.equal((await call('/long/x', 'a'.repeat(1001))).status, 413);
   });
 
-  it('end a head that comes too slowly with 408', async () => {
+  it('end a request whose headers arrive too slowly with 408', async () => {
     const began = performance.now();
     const socket = await raw('GET /plain/x HTTP/1.1\r\nhost: a.example\r\n');
     assert.match(await readToEnd(socket), /^HTTP\/1\.1 408 /);
@@ -114,7 +113,7 @@
     assert.ok(took >= 650 && took < 6000, `${Math.round(took)} ms`);
   });
 
-  it('end a connection that rests too long, having said so', async () => {
+  it('close an idle connection after the announced timeout', async () => {
     const began = performance.now();
     const socket = await raw('GET /plain/x HTTP/1.1\r\nhost: a.example\r\n\r\n');
     const text = await readToEnd(socket);
@@ -124,7 +123,7 @@
     assert.ok(took >= 1150 && took < 6000, `${Math.round(took)} ms`);
   });
 
-  it('let no more connections to one server be open from all proxies together than it takes', async () => {
+  it('limit the open connections to one server over all proxies', async () => {
     const held: (() => void)[] = [];
     let most = 0;
     server.handle = (_incoming, response) => {
@@ -146,16 +145,16 @@
     assert.ok(open <= 8 && held.length >= 4, `${open} connections, ${held.length} requests`);
     for (const end of held) end();
     const answers = await Promise.all(calls);
-    const turnedAway = answers.filter((one) => one.status !== 200);
-    assert.equal(turnedAway.length, refused);
-    for (const one of turnedAway) {
+    const refusedAnswers = answers.filter((one) => one.status !== 200);
+    assert.equal(refusedAnswers.length, refused);
+    for (const one of refusedAnswers) {
       assert.deepEqual([one.status, one.headers['bramblebend-ran']], [503, 'no']);
       assert.ok(one.headers['retry-after']);
     }
     assert.ok(most <= 8, `${most} connections at once`);
   });
 
-  it('end connections at rest when the server takes fewer', async () => {
+  it('close idle connections if the limit of the server is lowered', async () => {
     await put(of(limits, 100));
     const held: (() => void)[] = [];
     server.handle = (_incoming, response) => void held.push(() => void response.end('served'));
--- a/test/proxying.test.ts
+++ b/test/proxying.test.ts
@@ -1,5 +1,5 @@
-// Proxying in the product's own words: which rule takes a request by host and path, how weights and homes bind it,
-// what the proof by header saves and who may answer, what is repeated, and how gently a server warms up.
+// Proxying in the product dialect: rule selection by host and path, weights and home regions, identity by response
+// header, retries, connection reuse, and the rate limit of servers that warm up.
 import assert from 'node:assert/strict';
 import { after, before, beforeEach, describe, it } from 'node:test';
 import { request } from 'undici';
@@ -85,7 +85,7 @@
     assert.equal(put.status, 200);
     await InForce.everywhere(bench.kit);
   };
-  const earn = async () => {
+  const earnRetryTokens = async () => {
     await Promise.all(Array.from({ length: 20 }, () => callAt(0, '/p/deep/earn')));
     for (const one of left) one.reached.length = 0;
   };
@@ -109,18 +109,18 @@
     }
   });
 
-  it('keeps extra tries within a fifth of the requests, summed over the proxies', async () => {
+  it('limits retries to a fifth of the requests over all proxies', async () => {
     for (const one of left) one.handle = fail;
     const count = 90;
     const answers = await Promise.all(
       Array.from({ length: count }, (_none, index) => callAt(index, '/again/x')),
     );
     assert.ok(answers.every((one) => one.status === 502));
-    assert.ok(total() > count, 'some were tried again');
+    assert.ok(total() > count, 'some requests were retried');
     assert.ok(total() <= count * 1.2, `${total()} sends for ${count} requests`);
   });
 
-  it('takes the first rule whose host and path prefix fit, and tells no one else’s', async () => {
+  it('selects the first rule whose host and path prefix match', async () => {
     assert.equal(await groupOf('/p/deep/x'), 'left');
     assert.equal(await groupOf('/p/deeper'), 'right');
     assert.equal(await groupOf('/p/x', 'ONE.example:8080'), 'right');
@@ -130,7 +130,7 @@
     assert.equal(nowhere.headers['bramblebend-ran'], 'no');
   });
 
-  it('splits by weight: a group of weight 0 gets nothing, and one without servers leaves its part', async () => {
+  it('splits by weight: a group of weight 0 gets nothing, and a group without servers gives up its part', async () => {
     const sent = async () => {
       right.reached.length = 0;
       for (const one of left) one.reached.length = 0;
@@ -142,7 +142,7 @@
     };
     const [ofLeft, ofRight, ofIdle] = await sent();
     assert.equal(ofIdle, 0);
-    assert.ok(ofLeft! > ofRight! && ofRight! > 0, `${ofLeft} and ${ofRight}, where 2 to 1 was asked`);
+    assert.ok(ofLeft! > ofRight! && ofRight! > 0, `${ofLeft} and ${ofRight}, expected 2 to 1`);
     await list([right, idle]);
     assert.deepEqual(await sent(), [0, 90, 0]);
     await list([idle]);
@@ -151,7 +151,7 @@
     await list([...left, right, idle]);
   });
 
-  it('keeps a rule to its home regions from every proxy', async () => {
+  it('keeps a rule to its home regions on every proxy', async () => {
     const answers = await Promise.all(
       Array.from({ length: 30 }, (_none, index) => callAt(index, '/bound/x')),
     );
@@ -165,7 +165,7 @@
     await list([...left, right, idle]);
   });
 
-  it('names the wanted instance to the server, and asks no question on a new connection', async () => {
+  it('names the expected instance to the server, without an identity request on a new connection', async () => {
     const asked: (string | undefined)[] = [];
     const fresh = await bench.backEnd({ instance: 'l9', group: 'left', region: 'a', handle: serve });
     fresh.server.on('request', (incoming) => asked.push(incoming.url));
@@ -176,8 +176,8 @@
     await list([...left, right, idle]);
   });
 
-  it('takes a 421 of another instance as not run, and tries even a once request elsewhere', async () => {
-    await earn();
+  it('treats a 421 from another instance as not run, and retries even a once request elsewhere', async () => {
+    await earnRetryTokens();
     const other = await bench.backEnd({
       instance: 'l8',
       group: 'left',
@@ -190,14 +190,14 @@
     for (let count = 0; other.reached.length === 0; count += 1) {
       const answer = await callAt(0, '/once/x');
       assert.deepEqual([answer.status, answer.text], [200, 'whole']);
-      assert.ok(count < 200, 'it is tried now and then');
+      assert.ok(count < 200, 'the server is still tried occasionally');
     }
     assert.equal(left[1]!.reached.length >= 1, true);
     await list([...left, right, idle]);
   });
 
-  it('repeats a 5xx of a server for a repeatable request alone', async () => {
-    await earn();
+  it('retries after a 5xx only for a repeatable request', async () => {
+    await earnRetryTokens();
     let failures = 1;
     for (const one of left)
       one.handle = (incoming, response, body) => (failures-- > 0 ? fail : serve)(incoming, response, body);
@@ -208,7 +208,7 @@
     assert.deepEqual([once.status, once.headers['bramblebend-ran'], total()], [502, 'unknown', 3]);
   });
 
-  it('never takes a connection that the server said it closes, nor takes that for trouble', async () => {
+  it('never reuses a connection that the server announced to close, and counts no failure for it', async () => {
     const connections = new Set<unknown>();
     const heads = [{ connection: 'close' }, { 'keep-alive': 'timeout=1' }];
     let answered = 0;
@@ -226,11 +226,11 @@
     const count = 60;
     for (let index = 0; index < count; index += 1) assert.equal((await callAt(0, '/once/x')).text, 'whole');
     assert.equal(brief.reached.length, count);
-    assert.equal(connections.size, count, 'one connection for each request and none beside');
+    assert.equal(connections.size, count, 'exactly one connection for each request');
     await list([...left, right, idle]);
   });
 
-  it('takes bodies as long as the manifest or the rule says', async () => {
+  it('accepts bodies up to the limit of the manifest or the rule', async () => {
     const send = async (path: string, length: number) =>
       (await callAt(0, path, 'one.example', 'x'.repeat(length))).status;
     assert.equal(await send('/again/x', 5 * 1024 * 1024), 200);
@@ -238,7 +238,7 @@
     assert.deepEqual([await send('/short/x', 1000), await send('/short/x', 1001)], [200, 413]);
   });
 
-  it('passes answers without a body, after a 102 and with trailers on as whole ones', async () => {
+  it('forwards complete responses without a body, after a 102, and with trailers', async () => {
     const ask = async (handle: Bench.Handle, method: 'GET' | 'HEAD') => {
       for (const one of left) one.handle = handle;
       const answer = await request(`http://${bench.kit.fronts[0]!.listen}/once/x`, {
@@ -267,13 +267,13 @@
     assert.equal(total(), 5);
   });
 
-  it('sends a server that warms up no more than its bound in any second, over all proxies', async () => {
+  it('sends a warming server no more than its limit in any second, over all proxies', async () => {
     const arrivals: number[] = [];
     cold.server.on('request', () => arrivals.push(performance.now()));
     await list([...left, right, idle, cold]);
     const began = performance.now();
     let served = 0;
-    const press = async (front: number, until: number) => {
+    const sendRequests = async (front: number, until: number) => {
       do {
         const answer = await callAt(front, '/cold/x');
         assert.ok(answer.status === 200 || answer.status === 503, String(answer.status));
@@ -281,11 +281,11 @@
       } while (performance.now() < until);
     };
     await Promise.all(
-      Array.from({ length: 90 }, (_none, index) => press(index, index < 6 ? began + 2500 : began)),
+      Array.from({ length: 90 }, (_none, index) => sendRequests(index, index < 6 ? began + 2500 : began)),
     );
     const bound = Math.floor(warming * 1.15);
     const first = arrivals.filter((at) => at < arrivals[0]! + 900).length;
-    assert.ok(first <= bound, `${first} requests at once, where ${bound} may be`);
+    assert.ok(first <= bound, `${first} requests at once, limit ${bound}`);
     const spans = Math.ceil((performance.now() - began) / 1000);
     assert.ok(arrivals.length <= bound * spans, `${arrivals.length} within ${spans} s of ${bound} each`);
     assert.ok(served >= warming, `${served} served in 2.5 s`);
