--- a/src/proxy/filters/commit.ts
+++ b/src/proxy/filters/commit.ts
@@ -1,4 +1,7 @@
-/** Commit: the last filter. It answers with what the tries came to: a server's answer, or a refusal of our own. */
+/**
+ * Commit filter, the last one: answers the client according to the outcome of the attempts, with the response of a server
+ * or an error of the proxy.
+ */
 import { match } from 'ts-pattern';
 import { Instant } from '../../common/instant.js';
 import { Stamp } from '../../common/stamp.js';
@@ -8,37 +11,42 @@
 import type { Filter } from '../filter.js';
 import { Hygiene } from '../hygiene.js';
 import { Responses } from '../responses.js';
-import { StreamAnswer } from '../stream-answer.js';
+import { StreamResponse } from '../stream-response.js';
 
-/** What a call is answered with. */
+/** The outcome that a call is answered with. */
 export type Commit = { readonly verdict: Tries };
 
-type Refused = Extract<Tries, { kind: 'refusal' }>;
-type Answered = Extract<Tries, { kind: 'response' }>;
-type Streamed = Extract<Tries, { kind: 'stream' }>;
+type Refusal = Extract<Tries, { kind: 'refusal' }>;
+type FinalResponse = Extract<Tries, { kind: 'response' }>;
+type ServerStream = Extract<Tries, { kind: 'stream' }>;
 
-const why: Partial<Record<Tries.Reason, string>> = {
-  no_server: 'no server may run this request just now',
-  budget: 'the share of extra tries is used up',
-  refused: 'the servers tried refused it',
-  total: 'the request ran out of time',
+const reasonTexts: Partial<Record<Tries.Reason, string>> = {
+  no_server: 'no server is currently available for this request',
+  budget: 'the retry budget is exhausted',
+  refused: 'the servers refused the request',
+  total: 'the total timeout of the request expired',
 };
 
+/** Error codes on the wire that differ from the internal reason. */
 const publicCodes: Partial<Record<Tries.Reason, string>> = { refused: 'dropped' };
 
-const count = (needs: Filter.Needs, call: Call, outcome: string): void =>
-  needs.meters.requests.inc({ rule: Call.need(call, 'rule').name, outcome });
+const count = (needs: Filter.Dependencies, call: Call, outcome: string): void =>
+  needs.meters.requests.inc({ rule: Call.require(call, 'rule').name, outcome });
 
-const nameServer = (call: Call, { pick }: UpstreamTry, tries: number): Readonly<Record<string, string>> =>
-  call.dialect.down({
+const createResponseHeaders = (
+  call: Call,
+  { pick }: UpstreamTry,
+  tries: number,
+): Readonly<Record<string, string>> =>
+  call.dialect.responseHeaders({
     id: call.id,
     group: pick.group.name,
     region: pick.server.region,
     tries,
-    stamp: Stamp.text(Call.need(call, 'compiled').stamp),
+    stamp: Stamp.text(Call.require(call, 'compiled').stamp),
   });
 
-const refuse = (needs: Filter.Needs, call: Call, refused: Refused): Filter.Step => {
+const refuse = (needs: Filter.Dependencies, call: Call, refused: Refusal): Filter.Step => {
   const { status, why: cause, retryAfter, tries } = refused;
   const code = publicCodes[cause] ?? cause;
   count(needs, call, `drop_${status}`);
@@ -46,21 +54,26 @@
   return Responses.refuse(call, {
     status,
     code,
-    text: why[cause] ?? `no server answered: ${cause}`,
+    text: reasonTexts[cause] ?? `no server answered: ${cause}`,
     ran: status === 503 ? 'no' : 'unknown',
     retryAfter,
     tries,
   });
 };
 
-const answer = (needs: Filter.Needs, call: Call, { result: trial, tries }: Answered): Filter.Step => {
+const answer = (
+  needs: Filter.Dependencies,
+  call: Call,
+  { result: trial, tries }: FinalResponse,
+): Filter.Step => {
   const { outgoing, dialect } = call;
-  if (Call.need(call, 'rule').isOnce && dialect.promises.has(trial.status)) {
+  if (Call.require(call, 'rule').isOnce && dialect.notRunStatuses.has(trial.status)) {
+    // Passed on as it is, this status would tell the client that the request did not run.
     count(needs, call, 'response_no_promise');
     return Responses.refuse(call, {
       status: 502,
       code: 'no_promise',
-      text: `a server answered ${trial.status} and did not say that it had not run the request`,
+      text: `a server answered ${trial.status} without stating that it had not run the request`,
       ran: 'unknown',
       tries,
     });
@@ -68,7 +81,7 @@
   count(needs, call, `response_${trial.status}`);
   outgoing.writeHead(trial.status, {
     ...Hygiene.down(trial.headers, dialect),
-    ...nameServer(call, trial, tries),
+    ...createResponseHeaders(call, trial, tries),
     'bramblebend-ran': 'unknown',
     'content-length': trial.body.length,
   });
@@ -76,25 +89,39 @@
   return 'answered';
 };
 
-const stream = async (needs: Filter.Needs, call: Call, streamed: Streamed): Promise<Filter.Step> => {
+const stream = async (
+  needs: Filter.Dependencies,
+  call: Call,
+  streamed: ServerStream,
+): Promise<Filter.Step> => {
   const { result: trial, tries, sent } = streamed;
   if (call.outgoing.destroyed) {
-    await StreamAnswer.discard(trial);
+    await StreamResponse.discard(trial);
     count(needs, call, 'client_left');
     return 'answered';
   }
-  needs.meters.firstByte.observe({ rule: Call.need(call, 'rule').name }, Instant.since(call.arrived) / 1000);
-  const how = await StreamAnswer.begin(needs, call, trial, sent, nameServer(call, trial, tries)).pass();
-  count(needs, call, how === 'done' ? 'served' : `broken_by_${how}`);
-  if (how !== 'done') needs.meters.breaks.inc({ side: how });
+  needs.meters.firstByte.observe(
+    { rule: Call.require(call, 'rule').name },
+    Instant.since(call.arrivedAt) / 1000,
+  );
+  const result = await StreamResponse.begin(
+    needs,
+    call,
+    trial,
+    sent,
+    createResponseHeaders(call, trial, tries),
+  ).relay();
+  count(needs, call, result === 'done' ? 'served' : `broken_by_${result}`);
+  if (result !== 'done') needs.meters.breaks.inc({ side: result });
   return 'answered';
 };
 
+/** Creates the commit filter. */
 export const Commit = {
   filter:
-    (needs: Filter.Needs): Filter =>
+    (needs: Filter.Dependencies): Filter =>
     (call) =>
-      match(Call.need(call, 'verdict'))
+      match(Call.require(call, 'attemptResult'))
         .with({ kind: 'refusal' }, (refused) => refuse(needs, call, refused))
         .with({ kind: 'response' }, (answered) => answer(needs, call, answered))
         .with({ kind: 'stream' }, (streamed) => stream(needs, call, streamed))
