--- a/src/proxy/filters/attempt.ts
+++ b/src/proxy/filters/attempt.ts
@@ -3,10 +3,10 @@
 import { Moment } from '../../kinds/moment.js';
 import type { Compiled } from '../../manifest/compiled.js';
 import { Wall } from '../../manifest/wall.js';
+import type { Candidate } from '../../upstream/candidate.js';
 import type { Connection } from '../../upstream/connection.js';
 import type { Exchange } from '../../upstream/exchange.js';
 import { Outcome } from '../../upstream/outcome.js';
-import type { Pick } from '../../upstream/pick.js';
 import type { Placement } from '../../upstream/placement.js';
 import { Suspicion } from '../../upstream/suspicion.js';
 import { Trial } from '../../upstream/trial.js';
@@ -21,7 +21,7 @@
 export type Attempt = { readonly verdict: Tries };
 
 type Sending = {
-  readonly pick: Pick;
+  readonly pick: Candidate;
   readonly step: Compiled.Step;
   readonly left: number;
   readonly hops: number;
@@ -50,7 +50,7 @@
     .map((name) => compiled.groups.get(name))
     .reduce((sum, group) => sum + (group ? group.servers.length * group.concurrent : 0), 0);
 
-const wantOf = (call: Call): Placement.Want => {
+const wantOf = (call: Call): Placement.Request => {
   const { wall, asked, body } = call;
   const rule = Call.need(call, 'rule');
   const { total } = Call.need(call, 'timeouts');
@@ -73,7 +73,7 @@
   private readonly regions: readonly Ident.Region[];
   private readonly deadline: Moment;
   private readonly compiled: Compiled;
-  private readonly want: Placement.Want;
+  private readonly want: Placement.Request;
 
   constructor(
     private readonly needs: Filter.Needs,
@@ -117,23 +117,23 @@
   private readonly mayGo = (group: Compiled.Group): boolean =>
     Wall.mayGo(this.call.wall, group.wall, Walled.hasForeignBody(this.call));
 
-  private pickNeeds(): Pick.Needs {
+  private pickNeeds(): Candidate.Needs {
     const { needs } = this;
     return {
       compiled: needs.compiled() ?? this.compiled,
       inFlight: needs.inFlight,
       ejector: needs.ejector,
-      allowance: needs.ramp.allowance,
-      connections: needs.pool.part,
-      isDark: needs.prover.isDark,
-      mayWarm: needs.warmup.allows,
-      mayGo: this.mayGo,
+      concurrencyLimit: needs.ramp.concurrencyLimit,
+      connectionLimit: needs.pool.connectionLimit,
+      isUnreachable: needs.prover.isUnreachable,
+      allowsWarmup: needs.warmup.allows,
+      mayUseGroup: this.mayGo,
       placement: needs.placement,
       random: Math.random,
     };
   }
 
-  private readonly isStillOpen = ({ server }: Pick): boolean => {
+  private readonly isStillOpen = ({ server }: Candidate): boolean => {
     const compiled = this.needs.compiled();
     const newest = compiled?.servers.get(server.instance);
     const group = newest && compiled?.groups.get(newest.group);
@@ -149,12 +149,17 @@
     );
   };
 
-  private async run(pick: Pick, tier: Pick.Tier, hops: number, after: string | undefined): Promise<Trial> {
+  private async run(
+    pick: Candidate,
+    tier: Candidate.Tier,
+    hops: number,
+    after: string | undefined,
+  ): Promise<Trial> {
     const { needs, call, rule, want } = this;
     const { instance } = pick.server;
     this.tried.push(instance);
-    const placed = needs.placement.sent(pick.server, pick.group, want);
-    const place = needs.warmup.enter(instance);
+    const placed = needs.placement.recordSent(pick.server, pick.group, want);
+    const place = needs.warmup.reserve(instance);
     let sentAt = Moment.now();
     const trial = await Trial.run(pick, {
       ...this.trialNeeds(pick),
@@ -162,14 +167,14 @@
       weight: rule.aim === undefined ? (call.body?.length ?? 0) : placed.uncached,
       onSend() {
         sentAt = Moment.now();
-        place.sent();
+        place.confirmSent();
       },
-    }).finally(place.leave);
-    if (trial.kind === 'stream') placed.answered(Moment.since(sentAt));
+    }).finally(place.release);
+    if (trial.kind === 'stream') placed.recordFirstToken(Moment.since(sentAt));
     return trial;
   }
 
-  private trialNeeds(pick: Pick): Omit<Trial.Needs, 'request' | 'weight' | 'onSend'> {
+  private trialNeeds(pick: Candidate): Omit<Trial.Needs, 'request' | 'weight' | 'onSend'> {
     const { needs, call, rule } = this;
     const { instance } = pick.server;
     const onLost = (end: () => void) =>
--- a/src/proxy/program.ts
+++ b/src/proxy/program.ts
@@ -18,12 +18,12 @@
 import { Version } from '../startup/version.js';
 import { Budget } from '../upstream/budget.js';
 import { Ejector } from '../upstream/ejector.js';
-import { Failures } from '../upstream/failures.js';
+import { FailureScores } from '../upstream/failure-scores.js';
+import { HealthChecker } from '../upstream/health-checker.js';
 import { InFlight } from '../upstream/in-flight.js';
 import { Placement } from '../upstream/placement.js';
 import { Pool } from '../upstream/pool.js';
-import { Prover } from '../upstream/prover.js';
-import { Ramp } from '../upstream/ramp.js';
+import { SlowStart } from '../upstream/slow-start.js';
 import { Warmup } from '../upstream/warmup.js';
 import type { Frame } from '../wire/frame.js';
 import type { Link } from '../wire/link.js';
@@ -76,7 +76,7 @@
     const tending = Timer.every(500, () => {
       budget.tend();
       quotas.tend();
-      const failed = failures.untold();
+      const failed = failures.takeUnreported();
       if (failed.length > 0) uplink.send({ kind: 'failures', failed });
     });
     const inFlight = InFlight.of();
@@ -98,52 +98,52 @@
     });
     const pool = Pool.of({
       newest: () => compiled,
-      onWrong(server, cause) {
+      onWrongIdentity(server, cause) {
         meters.wrong.inc({ group: server.group });
         const facts = { instance: server.instance, why: Failure.text(cause), ...Failure.info(cause) };
-        if (prover.isDark(server.instance)) ring.note('wrong identity still', facts);
+        if (prover.isUnreachable(server.instance)) ring.note('wrong identity still', facts);
         else ring.alert('wrong identity', facts);
       },
-      onEnded: (server) => prover.suspect(server),
+      onUnexpectedClose: (server) => prover.suspect(server),
       proxies: () => roster.length,
     });
     let roster: readonly string[] = [];
-    const ramp = Ramp.of(startup.node, () => roster);
+    const ramp = SlowStart.of(startup.node, () => roster);
     const warmup = Warmup.of(startup.node, () => roster);
-    const failures = Failures.of();
+    const failures = FailureScores.of();
     const placement = Placement.of({
-      failing: failures.costs,
+      failureCosts: failures.costs,
       region: () => compiled?.regionOf(startup.zone),
       zone: startup.zone,
       inFlight,
       hasIdle: pool.hasIdle,
       random: Math.random,
     });
-    const prover: Prover = Prover.of({
+    const prover: HealthChecker = HealthChecker.of({
       pool,
       newest: () => compiled,
-      isFresh: ramp.isFresh,
-      onDark({ instance, group }) {
+      isRecentlyHealthy: ramp.isRecentlyHealthy,
+      onUnreachable({ instance, group }) {
         meters.dark.inc({ group });
-        ramp.doubt(instance);
+        ramp.markUnreachable(instance);
         ring.note('dark', { instance });
         uplink.send({ kind: 'cold', instance, age: 0, dark: true });
       },
-      onBack({ instance }) {
+      onRecovered({ instance }) {
         ring.note('back from the dark', { instance });
         onCold(instance);
         uplink.send({ kind: 'cold', instance, age: 0, dark: false });
       },
     });
     const onCold = (instance: string, age = 0) => {
-      if (ramp.begin(instance, age)) ring.note('fed gently', { instance });
+      if (ramp.start(instance, age)) ring.note('fed gently', { instance });
     };
     const warm = (before: Compiled | undefined, server: Compiled.Server, group: Compiled.Group) => {
       const known = before?.servers.get(server.instance);
       if (known === undefined || known.warming !== server.warming)
-        warmup.begin(server.instance, server.warming);
+        warmup.start(server.instance, server.warming);
       if (known?.isOpen === false && server.isOpen && group.warmup)
-        warmup.begin(server.instance, group.warmup.span);
+        warmup.start(server.instance, group.warmup.span);
     };
     const feedGently = (before: Compiled | undefined, after: Compiled) => {
       for (const server of after.servers.values()) {
@@ -228,10 +228,10 @@
         node: startup.node,
         boot,
         stamp: inForce(),
-        out: ejector.out(),
-        dark: prover.dark(),
+        out: ejector.ejected(),
+        dark: prover.unreachable(),
         leaving: departures.instances(),
-        cold: [...new Set([...warmup.cold(), ...ramp.gentle()])],
+        cold: [...new Set([...warmup.warming(), ...ramp.active()])],
         tokens: budget.held(),
         parent: uplink.parent(),
         version: Version,
@@ -266,15 +266,15 @@
       onRoster(proxies) {
         roster = proxies;
       },
-      onLoads: placement.hear,
+      onLoads: placement.updateLoads,
       onLeaving: departures.hear,
-      onFailures: failures.hear,
+      onFailures: failures.addReported,
       onCold({ instance, age, dark }) {
         if (dark) {
-          prover.hear(instance);
-          ramp.doubt(instance);
+          prover.reportUnreachable(instance);
+          ramp.markUnreachable(instance);
         } else {
-          prover.hearBack(instance);
+          prover.reportRecovered(instance);
           onCold(instance, age);
         }
       },
--- a/src/proxy/stream-answer.ts
+++ b/src/proxy/stream-answer.ts
@@ -117,7 +117,7 @@
     const { needs, trial, events } = this;
     const { server } = trial.pick;
     return {
-      onEvent: (span) => needs.placement.reading.event(server.instance, span),
+      onEvent: (span) => needs.placement.prefillSpeed.recordEventGap(server.instance, span),
       onSilence: () => needs.prover.suspect(server),
       onLost: (end) =>
         needs.prover.watch(server.instance, () => {
--- a/src/upstream/pick.ts
+++ b/src/upstream/candidate.ts
@@ -8,9 +8,9 @@
 import type { InFlight } from './in-flight.js';
 import type { Placement } from './placement.js';
 
-export type Pick = { readonly server: Compiled.Server; readonly group: Compiled.Group };
+export type Candidate = { readonly server: Compiled.Server; readonly group: Compiled.Group };
 
-export declare namespace Pick {
+export declare namespace Candidate {
   type Tier = {
     readonly step: Compiled.Step;
     readonly regions: readonly Ident.Region[];
@@ -19,11 +19,11 @@
     readonly compiled: Compiled;
     readonly inFlight: InFlight;
     readonly ejector: Ejector;
-    readonly allowance: (instance: string) => number;
-    readonly connections: (group: Compiled.Group) => number;
-    readonly isDark: (instance: string) => boolean;
-    readonly mayWarm: (server: Compiled.Server, group: Compiled.Group) => boolean;
-    readonly mayGo: (group: Compiled.Group) => boolean;
+    readonly concurrencyLimit: (instance: string) => number;
+    readonly connectionLimit: (group: Compiled.Group) => number;
+    readonly isUnreachable: (instance: string) => boolean;
+    readonly allowsWarmup: (server: Compiled.Server, group: Compiled.Group) => boolean;
+    readonly mayUseGroup: (group: Compiled.Group) => boolean;
     readonly placement: Placement;
     readonly random: () => number;
   };
@@ -31,7 +31,7 @@
 
 const bound = 1.25;
 
-const mix = (seed: number, text: string): number => {
+const hash = (seed: number, text: string): number => {
   let hash = seed >>> 0;
   for (let index = 0; index < text.length; index += 1)
     hash = Math.imul(hash ^ text.charCodeAt(index), 0x01000193) >>> 0;
@@ -42,42 +42,42 @@
 
 const weigh = (level: InFlight.Level): number => level.prefill / 4096 + level.decode;
 
-export const Pick = {
-  mix,
-  tiers(rule: Compiled.Rule, regions: readonly Ident.Region[]): readonly Pick.Tier[] {
+export const Candidate = {
+  hash: hash,
+  tiers(rule: Compiled.Rule, regions: readonly Ident.Region[]): readonly Candidate.Tier[] {
     if (rule.aim !== undefined) return rule.steps.map((step) => ({ step, regions }));
     const [first, ...others] = regions;
     const order = first === undefined ? [] : [first, ...rule.spill.filter((one) => others.includes(one))];
     return rule.steps.flatMap((step) => order.map((region) => ({ step, regions: [region] })));
   },
-  open(tier: Pick.Tier, needs: Pick.Needs): readonly Pick[] {
+  eligible(tier: Candidate.Tier, needs: Candidate.Needs): readonly Candidate[] {
     return tier.step.groups.flatMap((name) => {
       const group = needs.compiled.groups.get(name);
-      if (!group || !needs.mayGo(group)) return [];
+      if (!group || !needs.mayUseGroup(group)) return [];
       return group.servers
         .filter(
           (server) =>
             server.isOpen &&
             tier.regions.includes(server.region) &&
-            !needs.ejector.isOut(server) &&
+            !needs.ejector.isEjected(server) &&
             !needs.ejector.isMisdirected(server) &&
-            !needs.isDark(server.instance) &&
-            needs.mayWarm(server, group),
+            !needs.isUnreachable(server.instance) &&
+            needs.allowsWarmup(server, group),
         )
         .map((server) => ({ server, group }));
     });
   },
   choose(
-    among: readonly Pick[],
+    among: readonly Candidate[],
     key: string | undefined,
-    needs: Pick.Needs,
-    want?: Placement.Want,
-  ): Pick | undefined {
+    needs: Candidate.Needs,
+    want?: Placement.Request,
+  ): Candidate | undefined {
     const { inFlight } = needs;
     const free = among.filter(
       ({ server, group }) =>
         inFlight.of(server.instance).jobs <
-        Math.min(group.concurrent, needs.allowance(server.instance), needs.connections(group)),
+        Math.min(group.concurrent, needs.concurrencyLimit(server.instance), needs.connectionLimit(group)),
     );
     if (free.length <= 1) return free[0];
     if (want) return needs.placement.choose(free, want);
@@ -85,12 +85,12 @@
       const a = free[Math.floor(needs.random() * free.length)]!;
       const others = free.filter((one) => one !== a);
       const b = others[Math.floor(needs.random() * others.length)]!;
-      const jobs = (one: Pick) => inFlight.of(one.server.instance).jobs;
+      const jobs = (one: Candidate) => inFlight.of(one.server.instance).jobs;
       return jobs(a) <= jobs(b) ? a : b;
     }
-    const seed = mix(0x811c9dc5, key);
+    const seed = hash(0x811c9dc5, key);
     const ranked = free
-      .map((one) => ({ one, score: mix(seed, one.server.instance) }))
+      .map((one) => ({ one, score: hash(seed, one.server.instance) }))
       .sort((a, b) => b.score - a.score || (a.one.server.instance < b.one.server.instance ? -1 : 1))
       .map(({ one }) => one);
     const weights = ranked.map((one) => weigh(inFlight.of(one.server.instance)));
--- a/src/upstream/connection.ts
+++ b/src/upstream/connection.ts
@@ -104,7 +104,7 @@
   } catch {
     body = undefined;
   }
-  Identity.prove({ headers: response.headers, body }, server, group);
+  Identity.verify({ headers: response.headers, body }, server, group);
 };
 
 type State = Connection.State;
--- a/src/upstream/ejector.ts
+++ b/src/upstream/ejector.ts
@@ -7,19 +7,19 @@
 import type { Compiled } from '../manifest/compiled.js';
 
 export type Ejector = {
-  readonly isOut: (server: Compiled.Server) => boolean;
-  readonly restsFor: (server: Compiled.Server) => number;
+  readonly isEjected: (server: Compiled.Server) => boolean;
+  readonly backoffLeft: (server: Compiled.Server) => number;
   readonly good: (server: Compiled.Server) => void;
   readonly bad: (server: Compiled.Server, group: Compiled.Group) => void;
-  readonly rest: (server: Compiled.Server, span: number) => void;
+  readonly backOff: (server: Compiled.Server, span: number) => void;
   readonly misdirected: (server: Compiled.Server) => void;
   readonly isMisdirected: (server: Compiled.Server) => boolean;
   readonly retain: (compiled: Compiled) => void;
-  readonly out: () => readonly string[];
+  readonly ejected: () => readonly string[];
 };
 
 export declare namespace Ejector {
-  type Why = 'failures' | 'misdirected';
+  type Reason = 'failures' | 'misdirected';
 }
 
 type Health = { failures: number; ejections: number; outUntil: Moment; restUntil: Moment };
@@ -30,7 +30,7 @@
 const misdirectedFor = { first: 5000, longest: 20_000 } as const;
 
 export const Ejector = {
-  of(note: (server: Compiled.Server, span: number, why: Ejector.Why) => void): Ejector {
+  of(note: (server: Compiled.Server, span: number, why: Ejector.Reason) => void): Ejector {
     const healths = new Map<string, Health>();
     const misdirections = new Map<string, Misdirection>();
     const healthOf = (server: Compiled.Server): Health => {
@@ -45,10 +45,10 @@
       return health !== undefined && !Moment.isPast(health.outUntil);
     };
     return {
-      isOut,
-      restsFor: (server) =>
+      isEjected: isOut,
+      backoffLeft: (server) =>
         Math.max(0, Moment.left(healths.get(server.instance)?.restUntil ?? (0 as Moment))),
-      out: () => [
+      ejected: () => [
         ...new Set([
           ...[...healths].filter(([, one]) => !Moment.isPast(one.outUntil)).map(([name]) => name),
           ...[...misdirections].filter(([, one]) => !Moment.isPast(one.until)).map(([name]) => name),
@@ -91,7 +91,7 @@
         health.outUntil = Moment.after(span);
         note(server, span, 'failures');
       },
-      rest(server, span) {
+      backOff(server, span) {
         healthOf(server).restUntil = Moment.after(span);
       },
       retain(compiled) {
--- a/src/upstream/failures.ts
+++ b/src/upstream/failure-scores.ts
@@ -5,19 +5,19 @@
 import { Moment } from '../kinds/moment.js';
 import type { Compiled } from '../manifest/compiled.js';
 
-export type Failures = {
+export type FailureScores = {
   readonly see: (instance: string, weight: number) => void;
   readonly good: (instance: string) => void;
-  readonly hear: (told: readonly Failures.Told[]) => void;
+  readonly addReported: (told: readonly FailureScores.Report[]) => void;
   /** What a server that fails costs beside all else, in milliseconds; servers that do not are left out. */
   readonly costs: (group: Compiled.Group) => ReadonlyMap<string, number>;
   /** What was seen here and is not yet told. */
-  readonly untold: () => readonly Failures.Told[];
+  readonly takeUnreported: () => readonly FailureScores.Report[];
   readonly retain: (isHeld: (instance: string) => boolean) => void;
 };
 
-export declare namespace Failures {
-  type Told = { readonly instance: string; readonly count: number };
+export declare namespace FailureScores {
+  type Report = { readonly instance: string; readonly count: number };
 }
 
 const halfLife = 4000;
@@ -31,8 +31,8 @@
 const forgotten = 0.1;
 const none: ReadonlyMap<string, number> = new Map();
 
-export const Failures = {
-  of(): Failures {
+export const FailureScores = {
+  of(): FailureScores {
     const scores = new Map<string, { readonly score: number; readonly at: Moment }>();
     const made = new Map<string, { readonly costs: ReadonlyMap<string, number>; readonly at: Moment }>();
     let waiting = new Map<string, number>();
@@ -69,7 +69,7 @@
         if (score < forgotten) scores.delete(instance);
         else scores.set(instance, { score, at: Moment.now() });
       },
-      hear(told) {
+      addReported(told) {
         for (const { instance, count } of told)
           if (count > 0 && Number.isFinite(count)) add(instance, Math.min(count, mostHeard));
       },
@@ -81,7 +81,7 @@
         made.set(group.name, { costs, at: Moment.now() });
         return costs;
       },
-      untold() {
+      takeUnreported() {
         const told = [...waiting].map(([instance, count]) => ({ instance, count }));
         waiting = new Map();
         return told;
--- a/src/upstream/prover.ts
+++ b/src/upstream/health-checker.ts
@@ -12,27 +12,27 @@
 import type { Connection } from './connection.js';
 import type { Pool } from './pool.js';
 
-export type Prover = {
-  readonly isDark: (instance: string) => boolean;
+export type HealthChecker = {
+  readonly isUnreachable: (instance: string) => boolean;
   readonly lost: (server: Compiled.Server) => void;
   readonly suspect: (server: Compiled.Server) => void;
-  readonly hear: (instance: string) => void;
+  readonly reportUnreachable: (instance: string) => void;
   /** Another proxy has proved again a server that this one only heard to be dark. */
-  readonly hearBack: (instance: string) => void;
+  readonly reportRecovered: (instance: string) => void;
   /** Calls back once this proxy has found the server dark; the function returned ends the watch. */
   readonly watch: (instance: string, see: () => void) => () => void;
-  readonly dark: () => readonly string[];
+  readonly unreachable: () => readonly string[];
   readonly retain: (compiled: Compiled) => void;
   readonly stop: () => void;
 };
 
-export declare namespace Prover {
+export declare namespace HealthChecker {
   type Needs = {
     readonly pool: Pool;
     readonly newest: () => Compiled | undefined;
-    readonly isFresh: (instance: string) => boolean;
-    readonly onDark: (server: Compiled.Server) => void;
-    readonly onBack: (server: Compiled.Server) => void;
+    readonly isRecentlyHealthy: (instance: string) => boolean;
+    readonly onUnreachable: (server: Compiled.Server) => void;
+    readonly onRecovered: (server: Compiled.Server) => void;
   };
 }
 
@@ -64,11 +64,11 @@
   };
 };
 
-const find = (needs: Prover.Needs, instance: string): Compiled.Server | undefined =>
+const find = (needs: HealthChecker.Needs, instance: string): Compiled.Server | undefined =>
   needs.newest()?.servers.get(instance);
 
 const prove = async (
-  needs: Prover.Needs,
+  needs: HealthChecker.Needs,
   server: Compiled.Server,
   stop: AbortSignal,
 ): Promise<Connection | undefined> => {
@@ -87,7 +87,7 @@
 };
 
 /** Proves a dark server again and again, until it answers, has left the list or is stopped. */
-const proveUntilBack = async (needs: Prover.Needs, proving: Proving): Promise<void> => {
+const proveUntilBack = async (needs: HealthChecker.Needs, proving: Proving): Promise<void> => {
   const { instance, darkness, onConfirmed, onProved } = proving;
   const { stop, isHearsay } = darkness;
   const rests = isHearsay ? afterHearsay : { first, longest };
@@ -108,13 +108,13 @@
   }
 };
 
-export const Prover = {
-  of(needs: Prover.Needs): Prover {
+export const HealthChecker = {
+  of(needs: HealthChecker.Needs): HealthChecker {
     const dark = new Map<string, Darkness>();
     const askedAt = new Map<string, Moment>();
     const watchers = watchersByServer();
     const tellDark = (server: Compiled.Server) => {
-      needs.onDark(server);
+      needs.onUnreachable(server);
       watchers.tell(server.instance);
     };
     const begin = async (instance: string, isHearsay: boolean) => {
@@ -126,7 +126,7 @@
         onConfirmed: tellDark,
         onProved(server, isNews) {
           dark.delete(instance);
-          if (isNews) needs.onBack(server);
+          if (isNews) needs.onRecovered(server);
         },
       });
       if (dark.get(instance) === darkness) dark.delete(instance);
@@ -137,8 +137,8 @@
       void begin(server.instance, false);
     };
     return {
-      isDark: (instance) => dark.has(instance),
-      dark: () => [...dark.keys()],
+      isUnreachable: (instance) => dark.has(instance),
+      unreachable: () => [...dark.keys()],
       lost,
       watch: watchers.add,
       suspect(server) {
@@ -150,11 +150,11 @@
           else if (find(needs, server.instance)) lost(server);
         });
       },
-      hear(instance) {
-        if (!dark.has(instance) && find(needs, instance) && !needs.isFresh(instance))
+      reportUnreachable(instance) {
+        if (!dark.has(instance) && find(needs, instance) && !needs.isRecentlyHealthy(instance))
           void begin(instance, true);
       },
-      hearBack(instance) {
+      reportRecovered(instance) {
         const held = dark.get(instance);
         if (!held?.isHearsay) return;
         dark.delete(instance);
--- a/src/upstream/identity.ts
+++ b/src/upstream/identity.ts
@@ -30,7 +30,7 @@
 };
 
 export const Identity = {
-  prove(identity: Identity, server: Compiled.Server, group: Compiled.Group): void {
+  verify(identity: Identity, server: Compiled.Server, group: Compiled.Group): void {
     const { service, instance } = group.identity;
     const fail = (text: string, found: unknown) => {
       throw Failure.of('identity', text, { instance: server.instance, group: group.name, found });
--- a/src/upstream/outcome.ts
+++ b/src/upstream/outcome.ts
@@ -3,9 +3,9 @@
  * unreachable servers and to the slow start of new ones.
  */
 import type { Ejector } from './ejector.js';
-import type { Failures } from './failures.js';
-import type { Prover } from './prover.js';
-import type { Ramp } from './ramp.js';
+import type { FailureScores } from './failure-scores.js';
+import type { HealthChecker } from './health-checker.js';
+import type { SlowStart } from './slow-start.js';
 import type { Trial } from './trial.js';
 
 /** How a try ended, as far as its server is concerned. */
@@ -14,10 +14,10 @@
 export declare namespace Outcome {
   /** Those that learn from outcomes. */
   type Needs = {
-    readonly failures: Pick<Failures, 'see' | 'good'>;
+    readonly failures: Pick<FailureScores, 'see' | 'good'>;
     readonly ejector: Pick<Ejector, 'good' | 'bad' | 'misdirected'>;
-    readonly prover: Pick<Prover, 'lost' | 'suspect'>;
-    readonly ramp: Pick<Ramp, 'good'>;
+    readonly prover: Pick<HealthChecker, 'lost' | 'suspect'>;
+    readonly ramp: Pick<SlowStart, 'good'>;
   };
 }
 
--- a/src/upstream/placement.ts
+++ b/src/upstream/placement.ts
@@ -6,19 +6,19 @@
 // same for all proxies and regions. A server that came lately is not taken to keep anything by hashing alone.
 import { Moment } from '../kinds/moment.js';
 import type { Compiled } from '../manifest/compiled.js';
+import { Candidate } from './candidate.js';
 import type { InFlight } from './in-flight.js';
-import { Pick } from './pick.js';
-import { Reading } from './reading.js';
+import { PrefillSpeed } from './prefill-speed.js';
 
 export type Placement = {
-  readonly choose: (among: readonly Pick[], want: Placement.Want) => Pick | undefined;
-  readonly sent: (
+  readonly choose: (among: readonly Candidate[], want: Placement.Request) => Candidate | undefined;
+  readonly recordSent: (
     server: Compiled.Server,
     group: Compiled.Group,
-    want: Placement.Want,
-  ) => { readonly uncached: number; readonly answered: (span: number) => void };
-  readonly hear: (loads: readonly Placement.Load[]) => void;
-  readonly reading: Reading;
+    want: Placement.Request,
+  ) => { readonly uncached: number; readonly recordFirstToken: (span: number) => void };
+  readonly updateLoads: (loads: readonly Placement.Load[]) => void;
+  readonly prefillSpeed: PrefillSpeed;
   readonly retain: (compiled: Compiled) => void;
 };
 
@@ -30,7 +30,7 @@
     readonly bound: number;
   };
   type Part = { readonly key: string; readonly tokens: number };
-  type Want = {
+  type Request = {
     readonly parts: readonly Part[];
     /** Behind which wall; each wall has its own part of what is remembered of a server. */
     readonly wall: string;
@@ -44,7 +44,7 @@
     readonly zone: string;
     readonly inFlight: InFlight;
     /** What servers of a group that fail cost; nothing is known of the others. */
-    readonly failing?: (group: Compiled.Group) => ReadonlyMap<string, number>;
+    readonly failureCosts?: (group: Compiled.Group) => ReadonlyMap<string, number>;
     readonly hasIdle: (instance: string) => boolean;
     readonly random: () => number;
   };
@@ -101,7 +101,7 @@
     const kept = new Map<string, Map<string, Map<string, number>>>();
     const seenSince = new Map<string, Moment>();
     const loads = new Map<string, { readonly load: Placement.Load; readonly at: Moment; sent: number }>();
-    const reading = Reading.of();
+    const reading = PrefillSpeed.of();
     let isFirst = true;
     let tokensUsual = usualTokens;
     const heard = (instance: string) => {
@@ -120,25 +120,25 @@
       });
       return tokens;
     };
-    const holdersOf = (among: readonly Pick[], key: string): Holders => {
-      const seed = Pick.mix(0x811c9dc5, key);
+    const holdersOf = (among: readonly Candidate[], key: string): Holders => {
+      const seed = Candidate.hash(0x811c9dc5, key);
       const region = needs.region();
       let first: string | undefined;
       let near: string | undefined;
       let [firstScore, nearScore] = [-1, -1];
       for (const { server } of among) {
-        const score = Pick.mix(seed, server.instance);
+        const score = Candidate.hash(seed, server.instance);
         if (score > firstScore) [first, firstScore] = [server.instance, score];
         if (server.region === region && score > nearScore) [near, nearScore] = [server.instance, score];
       }
       return { first, near };
     };
     const costOf = (
-      { server, group }: Pick,
-      want: Placement.Want,
+      { server, group }: Candidate,
+      want: Placement.Request,
       chains: readonly Chain[],
       holders: Holders,
-      failing: Placement.Needs['failing'],
+      failing: Placement.Needs['failureCosts'],
     ): number => {
       const { instance, slots } = server;
       const level = needs.inFlight.of(instance);
@@ -149,7 +149,7 @@
         chains.length === 0
           ? want.tokens
           : missing(instance, want.wall, chains, isHolder && isSettled(instance));
-      const speed = reading.speedOf(instance, server.group);
+      const speed = reading.tokensPerMs(instance, server.group);
       const reads = tokens / speed;
       const queued = (Math.max(0, (told?.load.queued ?? 0) - usualQueue) * tokensUsual) / speed;
       const waits = Math.max(level.prefill / speed, queued);
@@ -181,15 +181,15 @@
         const chains = chainsOf(want.parts);
         const shared = chains.at(-2)?.key;
         const holders = shared === undefined ? none : holdersOf(among, shared);
-        const failing = needs.failing && needs.random() >= unjudged ? needs.failing : undefined;
-        let best: { readonly pick: Pick; readonly cost: number } | undefined;
+        const failing = needs.failureCosts && needs.random() >= unjudged ? needs.failureCosts : undefined;
+        let best: { readonly pick: Candidate; readonly cost: number } | undefined;
         for (const pick of among) {
           const cost = costOf(pick, want, chains, holders, failing);
           if (!best || cost < best.cost) best = { pick, cost };
         }
         return best?.pick;
       },
-      sent({ instance, region }, group, want) {
+      recordSent({ instance, region }, group, want) {
         const chains = chainsOf(want.parts);
         const walls = kept.get(instance) ?? new Map<string, Map<string, number>>();
         kept.set(instance, walls);
@@ -217,15 +217,15 @@
         }
         return {
           uncached,
-          answered(span) {
+          recordFirstToken(span) {
             const trip = region === needs.region() ? 0 : farTrip;
-            const pace = reading.paceOf(instance, group.name);
-            if (isSure) reading.first(group.name, uncached, (span - trip) / pace);
+            const pace = reading.slowdownOf(instance, group.name);
+            if (isSure) reading.recordFirstToken(group.name, uncached, (span - trip) / pace);
           },
         };
       },
-      reading,
-      hear(told) {
+      prefillSpeed: reading,
+      updateLoads(told) {
         for (const load of told) loads.set(load.instance, { load, at: Moment.now(), sent: 0 });
       },
       retain({ servers }) {
--- a/src/upstream/pool.ts
+++ b/src/upstream/pool.ts
@@ -23,7 +23,7 @@
   readonly count: () => number;
   readonly hasIdle: (instance: string) => boolean;
   /** Most connections that this proxy may hold to one server of the group. */
-  readonly part: (group: Compiled.Group) => number;
+  readonly connectionLimit: (group: Compiled.Group) => number;
 };
 
 const mostIdle = 32;
@@ -42,9 +42,9 @@
 
 export const Pool = {
   of(terms: {
-    readonly onWrong: (server: Compiled.Server, cause: Error) => void;
+    readonly onWrongIdentity: (server: Compiled.Server, cause: Error) => void;
     readonly newest: () => Compiled | undefined;
-    readonly onEnded: (server: Compiled.Server) => void;
+    readonly onUnexpectedClose: (server: Compiled.Server) => void;
     readonly proxies: () => number;
   }): Pool {
     const idle = new Map<string, Connection[]>();
@@ -58,11 +58,12 @@
         connection.server.instance,
         list.filter((one) => one !== connection),
       );
-      if (Moment.since(usedAt.get(connection) ?? Moment.past) < justUsed) terms.onEnded(connection.server);
+      if (Moment.since(usedAt.get(connection) ?? Moment.past) < justUsed)
+        terms.onUnexpectedClose(connection.server);
     };
     const held = new Map<string, number>();
     let mostProxies = 1;
-    const part: Pool['part'] = ({ connections }) => {
+    const part: Pool['connectionLimit'] = ({ connections }) => {
       mostProxies = Math.max(mostProxies, terms.proxies());
       if (connections === undefined) return Number.POSITIVE_INFINITY;
       return Math.max(leastPart, Math.floor((connections * portion) / mostProxies));
@@ -114,13 +115,13 @@
         return connection;
       } catch (error) {
         countOne(instance, -1);
-        if (Failure.is(error, 'identity')) terms.onWrong(server, error);
+        if (Failure.is(error, 'identity')) terms.onWrongIdentity(server, error);
         throw error;
       }
     };
     return {
       count: () => all.size,
-      part,
+      connectionLimit: part,
       hasIdle: (instance) => idle.get(instance)?.some((one) => one.mayCarry(true)) ?? false,
       async take(server, group, signal, mayCarry) {
         const kept = takeIdle(server, mayCarry);
--- a/src/upstream/reading.ts
+++ b/src/upstream/prefill-speed.ts
@@ -3,13 +3,13 @@
 // whatever it reads. The group's speed is learned from prompts whose unread part is known for sure: tokens by time to the
 // first event, when nothing else of ours waited there.
 
-export type Reading = {
+export type PrefillSpeed = {
   /** Tokens a millisecond at this server. */
-  readonly speedOf: (instance: string, group: string) => number;
+  readonly tokensPerMs: (instance: string, group: string) => number;
   /** How many times slower than the fastest of its group this server is. */
-  readonly paceOf: (instance: string, group: string) => number;
-  readonly event: (instance: string, span: number) => void;
-  readonly first: (group: string, tokens: number, span: number) => void;
+  readonly slowdownOf: (instance: string, group: string) => number;
+  readonly recordEventGap: (instance: string, span: number) => void;
+  readonly recordFirstToken: (group: string, tokens: number, span: number) => void;
   readonly retain: (isHeld: (instance: string) => boolean) => void;
 };
 
@@ -21,8 +21,8 @@
 const mostPace = 4;
 const leastTokens = 400;
 
-export const Reading = {
-  of(): Reading {
+export const PrefillSpeed = {
+  of(): PrefillSpeed {
     const paces = new Map<string, number>();
     const speeds = new Map<string, number>();
     const groups = new Map<string, Set<string>>();
@@ -47,15 +47,15 @@
       return Math.min(mostPace, Math.max(1, own / Math.max(1, bestOf(group, members))));
     };
     return {
-      paceOf,
-      speedOf: (instance, group) => (speeds.get(group) ?? startSpeed) / paceOf(instance, group),
-      event(instance, gap) {
+      slowdownOf: paceOf,
+      tokensPerMs: (instance, group) => (speeds.get(group) ?? startSpeed) / paceOf(instance, group),
+      recordEventGap(instance, gap) {
         if (gap < 1) return;
         bests.clear();
         const known = paces.get(instance) ?? gap;
         paces.set(instance, known * (gap < known ? 1 - step * (1 - quantile) : 1 + step * quantile));
       },
-      first(group, tokens, taken) {
+      recordFirstToken(group, tokens, taken) {
         if (tokens < leastTokens || taken <= 0) return;
         const seen = Math.min(bounds.fastest, Math.max(bounds.slowest, tokens / taken));
         const known = speeds.get(group) ?? startSpeed;
--- a/src/upstream/ramp.ts
+++ b/src/upstream/slow-start.ts
@@ -4,15 +4,15 @@
 // without any talk. A server that answered us a moment ago, and since we were told that it was dark, is not
 // taken for cold, whatever a proxy that was itself cut off may say.
 import { Moment } from '../kinds/moment.js';
-import { Pick } from './pick.js';
+import { Candidate } from './candidate.js';
 
-export type Ramp = {
-  readonly begin: (instance: string, age?: number) => boolean;
+export type SlowStart = {
+  readonly start: (instance: string, age?: number) => boolean;
   readonly good: (instance: string) => void;
-  readonly isFresh: (instance: string) => boolean;
-  readonly doubt: (instance: string) => void;
-  readonly allowance: (instance: string) => number;
-  readonly gentle: () => readonly string[];
+  readonly isRecentlyHealthy: (instance: string) => boolean;
+  readonly markUnreachable: (instance: string) => void;
+  readonly concurrencyLimit: (instance: string) => number;
+  readonly active: () => readonly string[];
   readonly retain: (isHeld: (instance: string) => boolean) => void;
 };
 
@@ -21,25 +21,25 @@
 const over = 7500;
 const freshlyGood = 2000;
 
-export const Ramp = {
-  of(own: string, roster: () => readonly string[]): Ramp {
+export const SlowStart = {
+  of(own: string, roster: () => readonly string[]): SlowStart {
     const began = new Map<string, Moment>();
     const lastGood = new Map<string, Moment>();
     const doubted = new Set<string>();
     const isFresh = (instance: string) => Moment.since(lastGood.get(instance) ?? Moment.past) < freshlyGood;
     const rank = (instance: string, proxies: readonly string[]): number => {
-      const weigh = (proxy: string) => Pick.mix(Pick.mix(0x811c9dc5, instance), proxy);
+      const weigh = (proxy: string) => Candidate.hash(Candidate.hash(0x811c9dc5, instance), proxy);
       const mine = weigh(own);
       return proxies.filter((proxy) => proxy !== own && weigh(proxy) > mine).length;
     };
     return {
       good: (instance) => void lastGood.set(instance, Moment.now()),
-      isFresh,
-      doubt(instance) {
+      isRecentlyHealthy: isFresh,
+      markUnreachable(instance) {
         lastGood.delete(instance);
         doubted.add(instance);
       },
-      begin(instance, age = 0) {
+      start(instance, age = 0) {
         if (isFresh(instance)) return false;
         const known = began.get(instance);
         const isRunning = known !== undefined && Moment.since(known) < over;
@@ -48,7 +48,7 @@
         began.set(instance, Moment.after(-age));
         return true;
       },
-      allowance(instance) {
+      concurrencyLimit(instance) {
         const from = began.get(instance);
         if (from === undefined) return Number.POSITIVE_INFINITY;
         const span = Moment.since(from);
@@ -61,7 +61,7 @@
         const count = Math.max(1, proxies.includes(own) ? proxies.length : proxies.length + 1);
         return Math.floor(limit / count) + (rank(instance, proxies) < limit % count ? 1 : 0);
       },
-      gentle: () => [...began].filter(([, from]) => Moment.since(from) < over).map(([instance]) => instance),
+      active: () => [...began].filter(([, from]) => Moment.since(from) < over).map(([instance]) => instance),
       retain(isHeld) {
         for (const kept of [began, lastGood])
           for (const instance of kept.keys()) if (!isHeld(instance)) kept.delete(instance);
--- a/src/upstream/trial.ts
+++ b/src/upstream/trial.ts
@@ -5,22 +5,22 @@
 import { Moment } from '../kinds/moment.js';
 import { Timer } from '../kinds/timer.js';
 import type { Document } from '../manifest/document.js';
+import type { Candidate } from './candidate.js';
 import type { Connection } from './connection.js';
 import type { Exchange } from './exchange.js';
 import type { InFlight } from './in-flight.js';
-import type { Pick } from './pick.js';
 import type { Pool } from './pool.js';
 import { Tie } from './tie.js';
 
 export type Trial =
-  | { readonly kind: 'unsent'; readonly why: Trial.Why; readonly pick: Pick }
-  | { readonly kind: 'lost'; readonly why: Trial.Why; readonly pick: Pick }
+  | { readonly kind: 'unsent'; readonly why: Trial.Why; readonly pick: Candidate }
+  | { readonly kind: 'lost'; readonly why: Trial.Why; readonly pick: Candidate }
   | {
       readonly kind: 'response';
       readonly status: number;
       readonly headers: IncomingHttpHeaders;
       readonly body: Buffer;
-      readonly pick: Pick;
+      readonly pick: Candidate;
     }
   | {
       readonly kind: 'stream';
@@ -29,7 +29,7 @@
       readonly body: Exchange.Body;
       readonly connection: Connection;
       readonly job: InFlight.Job;
-      readonly pick: Pick;
+      readonly pick: Candidate;
     };
 
 export declare namespace Trial {
@@ -51,7 +51,7 @@
     readonly timeouts: Document.Timeouts;
     readonly deadline: Moment;
     readonly signal: AbortSignal;
-    readonly isStillOpen: (pick: Pick) => boolean;
+    readonly isStillOpen: (pick: Candidate) => boolean;
     readonly settle: () => Promise<void>;
     readonly tie: Tie | undefined;
     /** Connections that carried an earlier try of this request: an answer to that one may still come there. */
@@ -80,7 +80,7 @@
 };
 
 export const Trial = {
-  async run(pick: Pick, needs: Trial.Needs): Promise<Trial> {
+  async run(pick: Candidate, needs: Trial.Needs): Promise<Trial> {
     const { timeouts, deadline, inFlight } = needs;
     const cut = new AbortController();
     const end = (why: Trial.Why) => cut.abort(Failure.of('timeout', `ended by ${why}`, { why }));
--- a/src/upstream/tries.ts
+++ b/src/upstream/tries.ts
@@ -8,7 +8,7 @@
 import { Timer } from '../kinds/timer.js';
 import type { Compiled } from '../manifest/compiled.js';
 import type { Budget } from './budget.js';
-import { Pick } from './pick.js';
+import { Candidate } from './candidate.js';
 import type { Placement } from './placement.js';
 import { RetryAfter } from './retry-after.js';
 import type { Trial } from './trial.js';
@@ -42,17 +42,17 @@
     readonly rule: Compiled.Rule;
     readonly regions: readonly Ident.Region[];
     readonly key: string | undefined;
-    readonly want: Placement.Want;
+    readonly want: Placement.Request;
     readonly before: { readonly tried: readonly string[]; readonly sent: number };
     readonly deadline: Moment;
     readonly signal: AbortSignal;
     readonly budget: Budget;
-    readonly pick: () => Pick.Needs;
-    readonly run: (pick: Pick, tier: Pick.Tier, hops: number) => Promise<Trial>;
+    readonly pick: () => Candidate.Needs;
+    readonly run: (pick: Candidate, tier: Candidate.Tier, hops: number) => Promise<Trial>;
     readonly note: (trial: Trial, isExtra: boolean) => void;
   };
   type Step =
-    | { readonly kind: 'try'; readonly pick: Pick; readonly tier: Pick.Tier; readonly hops: number }
+    | { readonly kind: 'try'; readonly pick: Candidate; readonly tier: Candidate.Tier; readonly hops: number }
     | { readonly kind: 'pause'; readonly span: number }
     | { readonly kind: 'token'; readonly span: number };
 }
@@ -90,7 +90,7 @@
 
 function* decide(plan: Tries.Plan): Generator<Tries.Step, Tries, Trial | undefined> {
   const { rule } = plan;
-  const tiers = Pick.tiers(rule, plan.regions);
+  const tiers = Candidate.tiers(rule, plan.regions);
   const tried = new Set<string>(plan.before.tried);
   let tries = 0;
   let sent = plan.before.sent;
@@ -101,15 +101,16 @@
   let last: Trial | undefined;
   let retryAfter = 0;
 
-  const choose = (from: number, isUntried: boolean): { pick: Pick; index: number } | undefined => {
+  const choose = (from: number, isUntried: boolean): { pick: Candidate; index: number } | undefined => {
     const needs = plan.pick();
     for (let index = from; index < tiers.length; index += 1) {
-      const open = Pick.open(tiers[index]!, needs).filter(
-        ({ server }) => needs.ejector.restsFor(server) === 0 && (!isUntried || !tried.has(server.instance)),
+      const open = Candidate.eligible(tiers[index]!, needs).filter(
+        ({ server }) =>
+          needs.ejector.backoffLeft(server) === 0 && (!isUntried || !tried.has(server.instance)),
       );
       const drawn = rule.weights ? Weights.draw(open, rule.weights, needs.random) : open;
       const want = rule.aim === undefined ? undefined : plan.want;
-      const pick = Pick.choose(drawn, rule.isAffine ? plan.key : undefined, needs, want);
+      const pick = Candidate.choose(drawn, rule.isAffine ? plan.key : undefined, needs, want);
       if (pick) return { pick, index };
     }
     return undefined;
@@ -132,7 +133,7 @@
   if (!next) {
     const needs = plan.pick();
     const rests = tiers.flatMap((tier) =>
-      Pick.open(tier, needs).map(({ server }) => needs.ejector.restsFor(server)),
+      Candidate.eligible(tier, needs).map(({ server }) => needs.ejector.backoffLeft(server)),
     );
     retryAfter = rests.length > 0 ? Math.min(...rests) : 0;
     return verdict('no_server');
@@ -168,7 +169,7 @@
       const asked = RetryAfter.read(trial.headers);
       if (asked !== undefined) {
         retryAfter = Math.max(retryAfter, asked);
-        plan.pick().ejector.rest(trial.pick.server, Math.min(asked, longestRetryAfter));
+        plan.pick().ejector.backOff(trial.pick.server, Math.min(asked, longestRetryAfter));
       }
     }
     if (isOver()) return verdict();
@@ -185,8 +186,8 @@
         if (!isHop) retries += 1;
       }
     } else if (canRetry) {
-      const open = Pick.open(tiers[tierIndex]!, plan.pick());
-      const rests = open.map(({ server }) => plan.pick().ejector.restsFor(server));
+      const open = Candidate.eligible(tiers[tierIndex]!, plan.pick());
+      const rests = open.map(({ server }) => plan.pick().ejector.backoffLeft(server));
       const wait = Math.max(
         Math.min(...rests, longestRetryAfter),
         backOff(rule.retry, retries, plan.pick().random),
--- a/src/upstream/warmup.ts
+++ b/src/upstream/warmup.ts
@@ -6,19 +6,19 @@
 // cut region comes back, parts reckoned from it would add up to many times the bound, so they are nothing.
 import { Moment } from '../kinds/moment.js';
 import type { Compiled } from '../manifest/compiled.js';
-import { Pick } from './pick.js';
+import { Candidate } from './candidate.js';
 
 export type Warmup = {
-  readonly begin: (instance: string, span: number) => void;
-  readonly isCold: (instance: string) => boolean;
+  readonly start: (instance: string, span: number) => void;
+  readonly isWarming: (instance: string) => boolean;
   readonly allows: (server: Compiled.Server, group: Compiled.Group) => boolean;
-  readonly enter: (instance: string) => Warmup.Place;
-  readonly cold: () => readonly string[];
+  readonly reserve: (instance: string) => Warmup.Reservation;
+  readonly warming: () => readonly string[];
   readonly retain: (isHeld: (instance: string) => boolean) => void;
 };
 
 export declare namespace Warmup {
-  type Place = { readonly sent: () => void; readonly leave: () => void };
+  type Reservation = { readonly confirmSent: () => void; readonly release: () => void };
 }
 
 const window = 1100;
@@ -51,15 +51,15 @@
       const proxies = roster();
       if (isFilling(proxies.length) || proxies.length === 0) return 0;
       const others = proxies.filter((proxy) => proxy !== own);
-      const weigh = (proxy: string) => Pick.mix(Pick.mix(0x811c9dc5, instance), proxy);
+      const weigh = (proxy: string) => Candidate.hash(Candidate.hash(0x811c9dc5, instance), proxy);
       const mine = weigh(own);
       const rank = others.filter((proxy) => weigh(proxy) > mine).length;
       const count = others.length + 1;
       return Math.floor(bound / count) + (rank < bound % count ? 1 : 0);
     };
     return {
-      isCold,
-      begin(instance, span) {
+      isWarming: isCold,
+      start(instance, span) {
         const end = Moment.after(span + margin);
         if (span > 0 && end > (until.get(instance) ?? Moment.past)) until.set(instance, end);
       },
@@ -70,7 +70,7 @@
         const open = entered.get(server.instance) ?? 0;
         return recent.length + open < partOf(server.instance, Math.floor(group.warmup.per_second * portion));
       },
-      enter(instance) {
+      reserve(instance) {
         let isIn = true;
         entered.set(instance, (entered.get(instance) ?? 0) + 1);
         const leave = () => {
@@ -81,14 +81,14 @@
           else entered.delete(instance);
         };
         return {
-          leave,
-          sent() {
+          release: leave,
+          confirmSent() {
             leave();
             if (isCold(instance)) sends.set(instance, [...(sends.get(instance) ?? []), Moment.now()]);
           },
         };
       },
-      cold: () => [...until.keys()].filter(isCold),
+      warming: () => [...until.keys()].filter(isCold),
       retain(isHeld) {
         for (const kept of [until, sends])
           for (const instance of kept.keys()) if (!isHeld(instance)) kept.delete(instance);
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -4,9 +4,9 @@
 import { afterEach, describe, it, mock } from 'node:test';
 import { FailureSums } from '../src/duty/failure-sums.js';
 import type { Compiled } from '../src/manifest/compiled.js';
-import { Failures } from '../src/upstream/failures.js';
+import type { Candidate } from '../src/upstream/candidate.js';
+import { FailureScores } from '../src/upstream/failure-scores.js';
 import { InFlight } from '../src/upstream/in-flight.js';
-import type { Pick } from '../src/upstream/pick.js';
 import { Placement } from '../src/upstream/placement.js';
 import type { Frame } from '../src/wire/frame.js';
 import { Random } from '../tools/random.js';
@@ -27,22 +27,22 @@
   ejection: { consecutive: 5, base: 5000, percent: 30 },
   servers: names.map((instance) => ({ instance, group: 'g', region: 'a', zone: 'a-1', slots: 64 })),
 } as unknown as Compiled.Group;
-const picks = group.servers.map((server) => ({ server, group })) as unknown as readonly Pick[];
+const picks = group.servers.map((server) => ({ server, group })) as unknown as readonly Candidate[];
 const want = { parts: [], wall: '', tokens: 100, bytes: 100, aim: 1000, gap: 500 };
 
 describe('failures of servers', () => {
   it('add up over proxies, each of which saw one, and fade', () => {
     const pass = clock();
-    const proxies = Array.from({ length: 6 }, () => Failures.of());
+    const proxies = Array.from({ length: 6 }, () => FailureScores.of());
     for (const one of proxies) one.see('s3', 1);
     assert.equal(proxies[0]!.costs(group).size, 0, 'one failure is nothing');
-    const told = proxies.flatMap((one) => one.untold());
-    assert.deepEqual(proxies[0]!.untold(), [], 'told once');
+    const told = proxies.flatMap((one) => one.takeUnreported());
+    assert.deepEqual(proxies[0]!.takeUnreported(), [], 'told once');
     pass(200);
-    for (const one of proxies) one.hear(told);
+    for (const one of proxies) one.addReported(told);
     for (const one of proxies) assert.deepEqual([...one.costs(group).keys()], ['s3']);
     assert.ok(proxies[0]!.costs(group).get('s3')! <= 600);
-    proxies[1]!.hear([{ instance: 's3', count: 1e9 }]);
+    proxies[1]!.addReported([{ instance: 's3', count: 1e9 }]);
     pass(200);
     assert.equal(proxies[1]!.costs(group).get('s3'), 600, 'what is told is bounded');
     pass(12_000);
@@ -53,7 +53,7 @@
 
   it('weigh less after each success', () => {
     const pass = clock();
-    const one = Failures.of();
+    const one = FailureScores.of();
     for (let count = 0; count < 5; count += 1) one.see('s1', 1);
     assert.equal(one.costs(group).size, 1);
     pass(200);
@@ -63,11 +63,11 @@
 
   it('hold for no more than the share that may be ejected, and not where all fail alike', () => {
     const pass = clock();
-    const one = Failures.of();
-    one.hear(names.slice(0, 4).map((instance, index) => ({ instance, count: 4 + index })));
+    const one = FailureScores.of();
+    one.addReported(names.slice(0, 4).map((instance, index) => ({ instance, count: 4 + index })));
     assert.deepEqual([...one.costs(group).keys()], ['s3', 's2', 's1']);
     pass(200);
-    one.hear(names.map((instance) => ({ instance, count: 8 })));
+    one.addReported(names.map((instance) => ({ instance, count: 8 })));
     assert.equal(one.costs(group).size, 0);
     one.retain(() => false);
     pass(200);
@@ -77,14 +77,14 @@
   it('make a server dearer than the others, with a share of the picks left to it', () => {
     clock();
     const random = Random.of(9);
-    const failures = Failures.of();
-    failures.hear([{ instance: 's4', count: 12 }]);
+    const failures = FailureScores.of();
+    failures.addReported([{ instance: 's4', count: 12 }]);
     const placement = Placement.of({
       region: () => 'a',
       zone: 'a-1',
       inFlight: InFlight.of(),
       hasIdle: () => true,
-      failing: failures.costs,
+      failureCosts: failures.costs,
       random: () => random.below(1_000_000) / 1_000_000,
     });
     const counts = new Map<string, number>();
--- a/test/silent-servers.test.ts
+++ b/test/silent-servers.test.ts
@@ -4,12 +4,12 @@
 import { describe, it } from 'node:test';
 import { setTimeout as pause } from 'node:timers/promises';
 import type { Compiled } from '../src/manifest/compiled.js';
+import type { Candidate } from '../src/upstream/candidate.js';
 import type { Connection } from '../src/upstream/connection.js';
+import { HealthChecker } from '../src/upstream/health-checker.js';
 import { InFlight } from '../src/upstream/in-flight.js';
 import { Outcome } from '../src/upstream/outcome.js';
-import type { Pick } from '../src/upstream/pick.js';
 import type { Pool } from '../src/upstream/pool.js';
-import { Prover } from '../src/upstream/prover.js';
 import { Suspicion } from '../src/upstream/suspicion.js';
 import { Trial } from '../src/upstream/trial.js';
 
@@ -21,7 +21,7 @@
   const dark: string[] = [];
   const back: string[] = [];
   const servers = new Map(['s1', 's2'].map((name) => [name, serverOf(name)]));
-  const prover = Prover.of({
+  const prover = HealthChecker.of({
     pool: {
       give() {},
       async open(server: Compiled.Server) {
@@ -31,9 +31,9 @@
       },
     } as unknown as Pool,
     newest: () => ({ servers, groups: new Map([['llm', group]]) }) as unknown as Compiled,
-    isFresh: () => false,
-    onDark: ({ instance }) => void dark.push(instance),
-    onBack: ({ instance }) => void back.push(instance),
+    isRecentlyHealthy: () => false,
+    onUnreachable: ({ instance }) => void dark.push(instance),
+    onRecovered: ({ instance }) => void back.push(instance),
   });
   return { prover, opened, dark, back };
 };
@@ -59,7 +59,7 @@
     forget();
     prover.lost(serverOf('s1'));
     assert.deepEqual(told, ['waits']);
-    assert.ok(prover.isDark('s1'));
+    assert.ok(prover.isUnreachable('s1'));
     prover.stop();
   });
 
@@ -67,13 +67,13 @@
     const { prover, opened, dark, back } = proverOf((instance) => instance === 's2');
     const told: string[] = [];
     for (const name of ['s1', 's2']) prover.watch(name, () => told.push(name));
-    prover.hear('s1');
-    prover.hear('s2');
+    prover.reportUnreachable('s1');
+    prover.reportUnreachable('s2');
     await pause(50);
     assert.deepEqual(opened.sort(), ['s1', 's2']);
-    assert.deepEqual([prover.dark(), dark, told], [['s1'], ['s1'], ['s1']]);
-    prover.hearBack('s1');
-    assert.equal(prover.isDark('s1'), false, 'another proxy has proved it again');
+    assert.deepEqual([prover.unreachable(), dark, told], [['s1'], ['s1'], ['s1']]);
+    prover.reportRecovered('s1');
+    assert.equal(prover.isUnreachable('s1'), false, 'another proxy has proved it again');
     await pause(400);
     assert.equal(opened.length, 2, 'and this one does not ask any more');
     assert.deepEqual(back, []);
@@ -83,7 +83,7 @@
   it('is not confirmed by a proof that was broken off when another proxy had it back', async () => {
     const dark: string[] = [];
     const servers = new Map([['s1', serverOf('s1')]]);
-    const prover = Prover.of({
+    const prover = HealthChecker.of({
       pool: {
         give() {},
         open: (_server: unknown, _group: unknown, signal: AbortSignal) =>
@@ -92,27 +92,27 @@
           }),
       } as unknown as Pool,
       newest: () => ({ servers, groups: new Map([['llm', group]]) }) as unknown as Compiled,
-      isFresh: () => false,
-      onDark: ({ instance }) => void dark.push(instance),
-      onBack() {},
+      isRecentlyHealthy: () => false,
+      onUnreachable: ({ instance }) => void dark.push(instance),
+      onRecovered() {},
     });
-    prover.hear('s1');
+    prover.reportUnreachable('s1');
     await pause(40);
-    prover.hearBack('s1');
+    prover.reportRecovered('s1');
     await pause(40);
-    assert.deepEqual([dark, prover.dark()], [[], []]);
+    assert.deepEqual([dark, prover.unreachable()], [[], []]);
   });
 
   it('that this proxy found itself is proved here, whatever others say', () => {
     const { prover } = proverOf(() => false);
     prover.lost(serverOf('s1'));
-    prover.hearBack('s1');
-    assert.ok(prover.isDark('s1'));
+    prover.reportRecovered('s1');
+    assert.ok(prover.isUnreachable('s1'));
     prover.stop();
   });
 });
 
-const pick = { server: serverOf('s1'), group } as Pick;
+const pick = { server: serverOf('s1'), group } as Candidate;
 const never = new AbortController().signal;
 
 const runTrial = (pool: Partial<Pool>, onLost?: (end: () => void) => () => void) =>
--- a/test/upstream.test.ts
+++ b/test/upstream.test.ts
@@ -5,10 +5,10 @@
 import type { Compiled } from '../src/manifest/compiled.js';
 import { Stall } from '../src/proxy/stall.js';
 import { Budget } from '../src/upstream/budget.js';
+import type { Candidate } from '../src/upstream/candidate.js';
 import { InFlight } from '../src/upstream/in-flight.js';
-import type { Pick } from '../src/upstream/pick.js';
 import { Placement } from '../src/upstream/placement.js';
-import { Reading } from '../src/upstream/reading.js';
+import { PrefillSpeed } from '../src/upstream/prefill-speed.js';
 import { RetryAfter } from '../src/upstream/retry-after.js';
 import { Warmup } from '../src/upstream/warmup.js';
 import { Weights } from '../src/upstream/weights.js';
@@ -30,18 +30,18 @@
   const random = Random.of(seed);
   return () => random.below(1_000_000) / 1_000_000;
 };
-const pickOf = (instance: string, group = 'g', region = 'a'): Pick =>
+const pickOf = (instance: string, group = 'g', region = 'a'): Candidate =>
   ({
     server: { instance, group, region, zone: `${region}-1`, isOpen: true, slots: undefined, warming: 0 },
     group: { name: group, memory: undefined, warmup: { per_second: 20, span: 60_000 } },
-  }) as unknown as Pick;
+  }) as unknown as Candidate;
 const most = (times: readonly number[], span: number): number =>
   Math.max(...times.map((from) => times.filter((at) => at >= from && at < from + span).length));
 
 describe('weights', () => {
   it('draw groups in proportion among those with an open server, and never one of weight 0', () => {
     const random = chance(7);
-    const draw = (open: Pick[], weights: Record<string, number>) => {
+    const draw = (open: Candidate[], weights: Record<string, number>) => {
       const counts: Record<string, number> = {};
       for (let count = 0; count < 6000; count += 1)
         for (const name of new Set(Weights.draw(open, weights, random).map(({ group }) => group.name)))
@@ -66,17 +66,17 @@
     const random = Random.of(3);
     const warmups = start();
     const cold = pickOf('cold');
-    for (const one of warmups) one.begin('cold', 60_000);
+    for (const one of warmups) one.start('cold', 60_000);
     const waiting: { at: number; send: () => void }[] = [];
     const sent: number[] = [];
     for (let step = 0; step < 1500; step += 1) {
       time.pass(5);
       for (const one of warmups) {
         if (!one.allows(cold.server, cold.group)) continue;
-        const place = one.enter('cold');
+        const place = one.reserve('cold');
         const send = () => {
-          if (random.below(10) === 0) return place.leave();
-          place.sent();
+          if (random.below(10) === 0) return place.release();
+          place.confirmSent();
           sent.push(time.now());
         };
         waiting.push({ at: time.now() + random.below(400), send });
@@ -98,7 +98,7 @@
     const rosters: string[][] = names.map(() => []);
     const warmups = names.map((own, index) => Warmup.of(own, () => rosters[index]!));
     const cold = pickOf('cold');
-    for (const one of warmups) one.begin('cold', 60_000);
+    for (const one of warmups) one.start('cold', 60_000);
     const sent: number[] = [];
     for (let step = 0; step < 400; step += 1) {
       time.pass(20);
@@ -108,7 +108,7 @@
         if (hears && joined.includes(own)) rosters[index] = joined;
         const one = warmups[index]!;
         if (!joined.includes(own) || !one.allows(cold.server, cold.group)) return;
-        one.enter('cold').sent();
+        one.reserve('cold').confirmSent();
         sent.push(time.now());
       });
     }
@@ -122,13 +122,13 @@
     const time = clock();
     const [one] = start();
     const cold = pickOf('cold');
-    one!.begin('cold', 1000);
-    while (one!.allows(cold.server, cold.group)) one!.enter('cold').sent();
-    one!.begin('gone', 60_000);
+    one!.start('cold', 1000);
+    while (one!.allows(cold.server, cold.group)) one!.reserve('cold').confirmSent();
+    one!.start('gone', 60_000);
     one!.retain((instance) => instance === 'cold');
-    assert.deepEqual(one!.cold(), ['cold']);
+    assert.deepEqual(one!.warming(), ['cold']);
     time.pass(2000);
-    assert.equal(one!.isCold('cold'), false);
+    assert.equal(one!.isWarming('cold'), false);
     assert.equal(one!.allows(cold.server, cold.group), true);
   });
 });
@@ -212,7 +212,7 @@
 
 describe('placement', () => {
   const servers = ['s1', 's2', 's3', 's4'].map((instance) => pickOf(instance));
-  const compiled = (among: readonly Pick[]) =>
+  const compiled = (among: readonly Candidate[]) =>
     ({
       servers: new Map(among.map(({ server }) => [server.instance, server])),
       rules: [],
@@ -230,7 +230,7 @@
     placement.retain(compiled(servers));
     return { inFlight, placement };
   };
-  const want = (shared: string, own: string): Placement.Want => ({
+  const want = (shared: string, own: string): Placement.Request => ({
     parts: [
       { key: shared, tokens: 3000 },
       { key: own, tokens: 500 },
@@ -287,7 +287,7 @@
     const { placement } = make(5);
     const [one] = servers;
     const sent = (shared: string, own: string) =>
-      placement.sent(one!.server, one!.group, want(shared, own)).uncached;
+      placement.recordSent(one!.server, one!.group, want(shared, own)).uncached;
     assert.deepEqual([sent('k', 'x'), sent('k', 'y'), sent('other', 'z')], [3500, 500, 3500]);
     placement.retain(compiled(servers.slice(1)));
     placement.retain(compiled(servers));
@@ -297,34 +297,34 @@
 
 describe('reading', () => {
   it('shows the slower server by its events, within bounds, and forgets it', () => {
-    const reading = Reading.of();
+    const reading = PrefillSpeed.of();
     const random = Random.of(9);
-    for (const instance of ['fast', 'slow']) reading.paceOf(instance, 'g');
+    for (const instance of ['fast', 'slow']) reading.slowdownOf(instance, 'g');
     for (let count = 0; count < 3000; count += 1) {
-      reading.event('fast', 9 + random.below(3));
-      reading.event('slow', 18 + random.below(5));
+      reading.recordEventGap('fast', 9 + random.below(3));
+      reading.recordEventGap('slow', 18 + random.below(5));
     }
-    const pace = reading.paceOf('slow', 'g');
+    const pace = reading.slowdownOf('slow', 'g');
     assert.ok(pace > 1.7 && pace < 2.3, String(pace));
-    assert.equal(reading.paceOf('fast', 'g'), 1);
-    for (let count = 0; count < 3000; count += 1) reading.event('slow', 5000);
-    assert.equal(reading.paceOf('slow', 'g'), 4);
+    assert.equal(reading.slowdownOf('fast', 'g'), 1);
+    for (let count = 0; count < 3000; count += 1) reading.recordEventGap('slow', 5000);
+    assert.equal(reading.slowdownOf('slow', 'g'), 4);
     reading.retain((instance) => instance === 'fast');
-    assert.equal(reading.paceOf('slow', 'g'), 1);
+    assert.equal(reading.slowdownOf('slow', 'g'), 1);
   });
 
   it('learns the speed of a group within bounds', () => {
-    const reading = Reading.of();
-    for (let count = 0; count < 200; count += 1) reading.first('g', 4000, 100);
-    assert.ok(Math.abs(reading.speedOf('one', 'g') - 40) < 1, String(reading.speedOf('one', 'g')));
-    const before = reading.speedOf('one', 'g');
-    reading.first('g', 100, 1);
-    reading.first('g', 4000, -5);
-    assert.equal(reading.speedOf('one', 'g'), before);
-    for (let count = 0; count < 400; count += 1) reading.first('g', 1_000_000, 0.001);
-    assert.ok(reading.speedOf('one', 'g') <= 2000);
-    for (let count = 0; count < 400; count += 1) reading.first('g', 400, 1_000_000);
-    assert.ok(reading.speedOf('one', 'g') >= 0.5);
+    const reading = PrefillSpeed.of();
+    for (let count = 0; count < 200; count += 1) reading.recordFirstToken('g', 4000, 100);
+    assert.ok(Math.abs(reading.tokensPerMs('one', 'g') - 40) < 1, String(reading.tokensPerMs('one', 'g')));
+    const before = reading.tokensPerMs('one', 'g');
+    reading.recordFirstToken('g', 100, 1);
+    reading.recordFirstToken('g', 4000, -5);
+    assert.equal(reading.tokensPerMs('one', 'g'), before);
+    for (let count = 0; count < 400; count += 1) reading.recordFirstToken('g', 1_000_000, 0.001);
+    assert.ok(reading.tokensPerMs('one', 'g') <= 2000);
+    for (let count = 0; count < 400; count += 1) reading.recordFirstToken('g', 400, 1_000_000);
+    assert.ok(reading.tokensPerMs('one', 'g') >= 0.5);
   });
 });
 
--- a/test/walls-manifest.test.ts
+++ b/test/walls-manifest.test.ts
@@ -156,7 +156,7 @@
       random: () => 0,
     });
     const send = (wall: string, key: string, tokens: number) =>
-      placement.sent(server, group, want(wall, key, tokens)).uncached;
+      placement.recordSent(server, group, want(wall, key, tokens)).uncached;
     assert.equal(send('one', 'leaflet', 200), 210);
     assert.equal(send('one', 'leaflet', 200), 10);
     assert.equal(send('two', 'leaflet', 200), 210);
--- a/tools/experiment/front.ts
+++ b/tools/experiment/front.ts
@@ -9,16 +9,16 @@
 import { Compiled } from '../../src/manifest/compiled.js';
 import type { View } from '../../src/manifest/view.js';
 import { Budget } from '../../src/upstream/budget.js';
+import type { Candidate as Choice } from '../../src/upstream/candidate.js';
 import type { Connection } from '../../src/upstream/connection.js';
 import { Ejector } from '../../src/upstream/ejector.js';
-import { Failures } from '../../src/upstream/failures.js';
+import { FailureScores } from '../../src/upstream/failure-scores.js';
+import { HealthChecker } from '../../src/upstream/health-checker.js';
 import { InFlight } from '../../src/upstream/in-flight.js';
 import { Outcome } from '../../src/upstream/outcome.js';
-import type { Pick as Choice } from '../../src/upstream/pick.js';
 import { Placement } from '../../src/upstream/placement.js';
 import type { Pool } from '../../src/upstream/pool.js';
-import { Prover } from '../../src/upstream/prover.js';
-import { Ramp } from '../../src/upstream/ramp.js';
+import { SlowStart } from '../../src/upstream/slow-start.js';
 import { Suspicion } from '../../src/upstream/suspicion.js';
 import type { Trial } from '../../src/upstream/trial.js';
 import { Tries } from '../../src/upstream/tries.js';
@@ -31,8 +31,8 @@
   readonly hear: (loads: readonly Placement.Load[]) => void;
   /** Another proxy has found a server dark. */
   readonly hearDark: (instance: string) => void;
-  readonly hearFailures: (told: readonly Failures.Told[]) => void;
-  readonly untold: () => readonly Failures.Told[];
+  readonly hearFailures: (told: readonly FailureScores.Report[]) => void;
+  readonly untold: () => readonly FailureScores.Report[];
   /** Tokens for extra tries that the pool of all proxies grants. */
   readonly grant: (batches: readonly Purse.Batch[]) => void;
   readonly stop: () => void;
@@ -41,7 +41,7 @@
 export declare namespace Front {
   type Request = {
     readonly rule: string;
-    readonly want: Placement.Want;
+    readonly want: Placement.Request;
     readonly left: number;
     readonly signal: AbortSignal;
     /** How a run on a server goes: until its head comes, and then until its end. */
@@ -94,20 +94,20 @@
 type Parts = {
   readonly inFlight: InFlight;
   readonly ejector: Ejector;
-  readonly failures: Failures;
-  readonly ramp: Ramp;
+  readonly failures: FailureScores;
+  readonly ramp: SlowStart;
   readonly warmup: Warmup;
   readonly placement: Placement;
   readonly budget: Budget;
-  readonly prover: Prover;
+  readonly prover: HealthChecker;
 };
 
 const proverOf = (
   needs: Front.Needs,
   parts: Omit<Parts, 'prover'>,
   newest: () => Compiled | undefined,
-): Prover =>
-  Prover.of({
+): HealthChecker =>
+  HealthChecker.of({
     pool: {
       give: ({ server }: Connection) => needs.keep(server.instance),
       async open(server: Compiled.Server, _group: Compiled.Group, signal: AbortSignal) {
@@ -116,29 +116,29 @@
       },
     } as unknown as Pool,
     newest,
-    isFresh: parts.ramp.isFresh,
-    onDark({ instance }) {
-      parts.ramp.doubt(instance);
+    isRecentlyHealthy: parts.ramp.isRecentlyHealthy,
+    onUnreachable({ instance }) {
+      parts.ramp.markUnreachable(instance);
       needs.tellDark(instance);
     },
-    onBack: () => {},
+    onRecovered: () => {},
   });
 
 const partsOf = (needs: Front.Needs, compiled: () => Compiled | undefined): Parts => {
   const region = () => compiled()?.regionOf(needs.zone);
   const inFlight = InFlight.of();
-  const failures = Failures.of();
+  const failures = FailureScores.of();
   const { extraTries, roster } = needs;
   const parts = {
     inFlight,
     failures,
     ejector: Ejector.of(() => {}),
-    ramp: Ramp.of(needs.node, roster),
+    ramp: SlowStart.of(needs.node, roster),
     warmup: Warmup.of(needs.node, roster),
     placement: Placement.of({
       region,
       inFlight,
-      failing: failures.costs,
+      failureCosts: failures.costs,
       hasIdle: needs.hasIdle,
       random: Math.random,
       zone: needs.zone,
@@ -219,11 +219,11 @@
       compiled: this.compiled(),
       inFlight: parts.inFlight,
       ejector: parts.ejector,
-      allowance: parts.ramp.allowance,
-      connections: () => Number.POSITIVE_INFINITY,
-      isDark: parts.prover.isDark,
-      mayWarm: parts.warmup.allows,
-      mayGo: () => true,
+      concurrencyLimit: parts.ramp.concurrencyLimit,
+      connectionLimit: () => Number.POSITIVE_INFINITY,
+      isUnreachable: parts.prover.isUnreachable,
+      allowsWarmup: parts.warmup.allows,
+      mayUseGroup: () => true,
       placement: parts.placement,
       random: Math.random,
     };
@@ -233,8 +233,8 @@
     const { parts, request, rule, deadline } = this;
     const { instance } = pick.server;
     this.tried.push(instance);
-    const placed = parts.placement.sent(pick.server, pick.group, request.want);
-    const place = parts.warmup.enter(instance);
+    const placed = parts.placement.recordSent(pick.server, pick.group, request.want);
+    const place = parts.warmup.reserve(instance);
     const weight = rule.aim === undefined ? request.want.bytes : placed.uncached;
     const job = parts.inFlight.begin(instance, weight);
     const watch = this.watchSilence(pick);
@@ -247,21 +247,21 @@
       job,
       onSend() {
         sentAt = Moment.now();
-        place.sent();
+        place.confirmSent();
       },
       onPiece(span) {
         watch.heard();
-        parts.placement.reading.event(instance, span);
+        parts.placement.prefillSpeed.recordEventGap(instance, span);
       },
       connectWithin: connectWithin.span,
       connectWhy: connectWithin.why,
       onEnd: (end) => this.endWhenDark(instance, watch, end),
     });
-    place.leave();
+    place.release();
     if (trial.kind === 'stream') {
       watch.began();
       job.toDecode();
-      placed.answered(Moment.since(sentAt));
+      placed.recordFirstToken(Moment.since(sentAt));
       ends.set(trial, watch.stop);
     } else {
       watch.stop();
@@ -318,9 +318,9 @@
         for (const server of next.servers.values()) {
           const group = next.groups.get(server.group)!;
           const known = before?.servers.get(server.instance);
-          if (!known || known.warming !== server.warming) parts.warmup.begin(server.instance, server.warming);
+          if (!known || known.warming !== server.warming) parts.warmup.start(server.instance, server.warming);
           if (known?.isOpen === false && server.isOpen && group.warmup)
-            parts.warmup.begin(server.instance, group.warmup.span);
+            parts.warmup.start(server.instance, group.warmup.span);
         }
         parts.placement.retain(next);
         parts.ejector.retain(next);
@@ -328,13 +328,13 @@
         parts.failures.retain((instance) => next.servers.has(instance));
         for (const kept of [parts.ramp, parts.warmup]) kept.retain((instance) => next.servers.has(instance));
       },
-      hear: parts.placement.hear,
+      hear: parts.placement.updateLoads,
       hearDark(instance) {
-        parts.prover.hear(instance);
-        parts.ramp.doubt(instance);
+        parts.prover.reportUnreachable(instance);
+        parts.ramp.markUnreachable(instance);
       },
-      hearFailures: parts.failures.hear,
-      untold: parts.failures.untold,
+      hearFailures: parts.failures.addReported,
+      untold: parts.failures.takeUnreported,
       grant: (batches) => parts.budget.grant(1, batches),
       stop() {
         tending.stop();
--- a/tools/experiment/policies.ts
+++ b/tools/experiment/policies.ts
@@ -18,7 +18,9 @@
       'const waits = Math.max(level.prefill, (needs as any).unread(instance)) / speed;',
     ),
   ],
-  'no reports': [change('placement', 'hear(told) {', 'hear(told) { if (told.length >= 0) return;')],
+  'no reports': [
+    change('placement', 'updateLoads(told) {', 'updateLoads(told) { if (told.length >= 0) return;'),
+  ],
   'no agreed holder': [change('placement', 'isHolder && isSettled(instance)', 'false')],
   'no memory of what was sent': [change('placement', 'held?.has(key) === true ||', 'false ||')],
   'no cost of another zone': [
@@ -28,8 +30,8 @@
   'no charge for lateness': [change('placement', 'late: 2 }', 'late: 0 }')],
   'no cost of jobs here': [change('placement', 'const perJob = 2;', 'const perJob = 0;')],
   'no cost of disturbing': [change('placement', 'const perDisturbed = 0.12;', 'const perDisturbed = 0;')],
-  'no pace of servers': [change('reading', 'paceOf,\n', 'paceOf: () => 1,\n')],
-  'no sums of failures': [change('failures', 'if (scores.size === 0) return none;', 'return none;')],
+  'no pace of servers': [change('prefill-speed', 'slowdownOf: paceOf,\n', 'slowdownOf: () => 1,\n')],
+  'no sums of failures': [change('failure-scores', 'if (scores.size === 0) return none;', 'return none;')],
   'no ejection': [change('ejector', 'health.failures += 1;', 'return;')],
   'no bound for warming servers': [change('warmup', 'if (!group.warmup ||', 'if (group.warmup ||')],
   'no extra tries': [
@@ -38,8 +40,16 @@
     change('budget', 'purse.total() >= whole;', 'false;'),
     change('budget', 'held: () => purse.total() / whole', 'held: () => 0'),
   ],
-  'pending requests wait for a dark server': [change('prover', 'watchers.tell(server.instance);', '')],
-  'no word of dark servers': [change('prover', 'hear(instance) {', 'hear(instance) { if (instance) return;')],
+  'pending requests wait for a dark server': [
+    change('health-checker', 'watchers.tell(server.instance);', ''),
+  ],
+  'no word of dark servers': [
+    change(
+      'health-checker',
+      'reportUnreachable(instance) {',
+      'reportUnreachable(instance) { if (instance) return;',
+    ),
+  ],
 };
 
 /** The policies by name. */
--- a/tools/fuzz/lab.ts
+++ b/tools/fuzz/lab.ts
@@ -17,12 +17,12 @@
 import { Stall } from '../../src/proxy/stall.js';
 import { Budget } from '../../src/upstream/budget.js';
 import { Ejector } from '../../src/upstream/ejector.js';
-import { Failures } from '../../src/upstream/failures.js';
+import { FailureScores } from '../../src/upstream/failure-scores.js';
+import { HealthChecker } from '../../src/upstream/health-checker.js';
 import { InFlight } from '../../src/upstream/in-flight.js';
 import { Placement } from '../../src/upstream/placement.js';
 import { Pool } from '../../src/upstream/pool.js';
-import { Prover } from '../../src/upstream/prover.js';
-import { Ramp } from '../../src/upstream/ramp.js';
+import { SlowStart } from '../../src/upstream/slow-start.js';
 import { Warmup } from '../../src/upstream/warmup.js';
 
 export type Lab = {
@@ -77,23 +77,23 @@
   const roster = () => [own];
   const inFlight = InFlight.of();
   const stall = Stall.of();
-  const failures = Failures.of();
-  const ramp = Ramp.of(own, roster);
+  const failures = FailureScores.of();
+  const ramp = SlowStart.of(own, roster);
   const budget = Budget.of();
   budget.grant(1, [{ amount: (terms.tokens ?? 1000) * 1000, age: 0 }]);
   const ejector = Ejector.of(() => {});
   const pool: Pool = Pool.of({
     newest,
-    onWrong() {},
-    onEnded: (server) => prover.suspect(server),
+    onWrongIdentity() {},
+    onUnexpectedClose: (server) => prover.suspect(server),
     proxies: () => 1,
   });
-  const prover: Prover = Prover.of({
+  const prover: HealthChecker = HealthChecker.of({
     pool,
     newest,
-    isFresh: ramp.isFresh,
-    onDark() {},
-    onBack() {},
+    isRecentlyHealthy: ramp.isRecentlyHealthy,
+    onUnreachable() {},
+    onRecovered() {},
   });
   const needs: Filter.Needs = {
     compiled: newest,
@@ -111,7 +111,7 @@
     stall,
     ramp,
     placement: Placement.of({
-      failing: failures.costs,
+      failureCosts: failures.costs,
       region: () => newest()?.regionOf(zone),
       zone,
       inFlight,
--- a/tools/plants/plants.ts
+++ b/tools/plants/plants.ts
@@ -67,7 +67,7 @@
   {
     ...common,
     name: 'spill leaves the home',
-    file: 'src/upstream/pick.js',
+    file: 'src/upstream/candidate.js',
     from: 'rule.spill.filter((one) => others.includes(one))',
     to: 'rule.spill',
     also: {
@@ -179,7 +179,7 @@
   {
     ...common,
     name: 'servers that come back are not fed gently',
-    file: 'src/upstream/ramp.js',
+    file: 'src/upstream/slow-start.js',
     from: 'const from = began.get(instance);',
     to: 'const from = undefined;',
     judge: 'coldFedGently',
