--- a/src/upstream/ejector.ts
+++ b/src/upstream/ejector.ts
@@ -1,56 +1,67 @@
-// Health, derived from the outcomes this node forwards: a server with so many failures in a row is
-// ejected for a span that grows with each ejection, but never more than a share of its group at once.
-// A server that asked us to come back later rests until then. An instance at whose address another one
-// answered gets nothing more until the list shows it elsewhere or a short span is over.
+/**
+ * Passive health checks (outlier ejection), derived from the outcomes of requests that this proxy forwards. A server with
+ * a number of consecutive failures is ejected for a time that doubles with each ejection, but never more than a share of
+ * its group at once. A server that asked for a later retry (Retry-After) gets no requests until then. An instance at whose
+ * address another one answered (misdirected) gets no requests until the list shows it at another address or a short time
+ * has passed.
+ */
 import { Address } from '../kinds/address.js';
 import { Moment } from '../kinds/moment.js';
 import type { Compiled } from '../manifest/compiled.js';
 
+/** Tracks ejected, misdirected and backed-off servers. */
 export type Ejector = {
   readonly isEjected: (server: Compiled.Server) => boolean;
+  /** Time left, in ms, until the server may be retried as it asked; 0 when it did not ask. */
   readonly backoffLeft: (server: Compiled.Server) => number;
+  /** Records a success: failures and ejections count from zero again. */
   readonly good: (server: Compiled.Server) => void;
+  /** Records a failure. */
   readonly bad: (server: Compiled.Server, group: Compiled.Group) => void;
   readonly backOff: (server: Compiled.Server, span: number) => void;
+  /** Records that another instance answered at the server's address. */
   readonly misdirected: (server: Compiled.Server) => void;
   readonly isMisdirected: (server: Compiled.Server) => boolean;
   readonly retain: (compiled: Compiled) => void;
+  /** Instances that are ejected or misdirected now. */
   readonly ejected: () => readonly string[];
 };
 
 export declare namespace Ejector {
+  /** Why a server was ejected. */
   type Reason = 'failures' | 'misdirected';
 }
 
-type Health = { failures: number; ejections: number; outUntil: Moment; restUntil: Moment };
+type Health = { failures: number; ejections: number; ejectedUntil: Moment; backoffUntil: Moment };
 
 type Misdirection = { readonly address: string; readonly count: number; readonly until: Moment };
 
-const longestEjection = 60_000;
-const misdirectedFor = { first: 5000, longest: 20_000 } as const;
+const maxEjectionMs = 60_000;
+const misdirectedMs = { first: 5000, longest: 20_000 } as const;
 
+/** Creates an ejector; `onEjected` is called with the length of each ejection in ms. */
 export const Ejector = {
-  of(note: (server: Compiled.Server, span: number, why: Ejector.Reason) => void): Ejector {
+  of(onEjected: (server: Compiled.Server, span: number, reason: Ejector.Reason) => void): Ejector {
     const healths = new Map<string, Health>();
     const misdirections = new Map<string, Misdirection>();
     const healthOf = (server: Compiled.Server): Health => {
       const known = healths.get(server.instance);
       if (known) return known;
-      const fresh = { failures: 0, ejections: 0, outUntil: 0 as Moment, restUntil: 0 as Moment };
-      healths.set(server.instance, fresh);
-      return fresh;
+      const initial = { failures: 0, ejections: 0, ejectedUntil: 0 as Moment, backoffUntil: 0 as Moment };
+      healths.set(server.instance, initial);
+      return initial;
     };
-    const isOut = (server: Compiled.Server): boolean => {
+    const isEjected = (server: Compiled.Server): boolean => {
       const health = healths.get(server.instance);
-      return health !== undefined && !Moment.isPast(health.outUntil);
+      return health !== undefined && !Moment.isPast(health.ejectedUntil);
     };
     return {
-      isEjected: isOut,
+      isEjected,
       backoffLeft: (server) =>
-        Math.max(0, Moment.left(healths.get(server.instance)?.restUntil ?? (0 as Moment))),
+        Math.max(0, Moment.left(healths.get(server.instance)?.backoffUntil ?? (0 as Moment))),
       ejected: () => [
         ...new Set([
-          ...[...healths].filter(([, one]) => !Moment.isPast(one.outUntil)).map(([name]) => name),
+          ...[...healths].filter(([, one]) => !Moment.isPast(one.ejectedUntil)).map(([name]) => name),
           ...[...misdirections].filter(([, one]) => !Moment.isPast(one.until)).map(([name]) => name),
         ]),
       ],
@@ -64,14 +75,14 @@
         const known = misdirections.get(server.instance);
         if (known && !Moment.isPast(known.until)) return;
         const count = known?.count ?? 0;
-        const span = Math.min(misdirectedFor.longest, misdirectedFor.first * 2 ** count);
+        const span = Math.min(misdirectedMs.longest, misdirectedMs.first * 2 ** count);
         const until = Moment.after(span);
         misdirections.set(server.instance, {
           address: Address.text(server.address),
           count: count + 1,
           until,
         });
-        note(server, span, 'misdirected');
+        onEjected(server, span, 'misdirected');
       },
       isMisdirected(server) {
         const known = misdirections.get(server.instance);
@@ -82,21 +93,22 @@
       bad(server, group) {
         const health = healthOf(server);
         health.failures += 1;
-        if (health.failures < group.ejection.consecutive || isOut(server)) return;
-        const outNow = group.servers.filter(isOut).length;
-        if ((outNow + 1) * 100 > group.servers.length * group.ejection.percent) return;
+        if (health.failures < group.ejection.consecutive || isEjected(server)) return;
+        const ejectedNow = group.servers.filter(isEjected).length;
+        if ((ejectedNow + 1) * 100 > group.servers.length * group.ejection.percent) return;
+        // One more failure after the ejection ejects the server again.
         health.failures = group.ejection.consecutive - 1;
-        const span = Math.min(longestEjection, group.ejection.base * 2 ** health.ejections);
+        const span = Math.min(maxEjectionMs, group.ejection.base * 2 ** health.ejections);
         health.ejections += 1;
-        health.outUntil = Moment.after(span);
-        note(server, span, 'failures');
+        health.ejectedUntil = Moment.after(span);
+        onEjected(server, span, 'failures');
       },
       backOff(server, span) {
-        healthOf(server).restUntil = Moment.after(span);
+        healthOf(server).backoffUntil = Moment.after(span);
       },
       retain(compiled) {
-        for (const kept of [healths, misdirections])
-          for (const instance of kept.keys()) if (!compiled.servers.has(instance)) kept.delete(instance);
+        for (const map of [healths, misdirections])
+          for (const instance of map.keys()) if (!compiled.servers.has(instance)) map.delete(instance);
       },
     };
   },
--- a/src/upstream/failure-scores.ts
+++ b/src/upstream/failure-scores.ts
@@ -1,93 +1,106 @@
-// Failures of servers, counted over this proxy's outcomes and those that its fellows told. A server that fails part
-// of its requests is seen by no single proxy of many, each of which sends it few. The count is soft: it fades within
-// seconds, makes a server dearer and never closes it, a share of the picks leaves it aside, and it holds for no more
-// of a group than may be ejected, and only for servers that fail much oftener than their group's middle one.
+/**
+ * Failure scores of servers, over the outcomes of this proxy and those that other proxies report. A server that fails
+ * only part of its requests is not detected by any single one of many proxies, each of which sends it few. The score decays
+ * within seconds. It raises a server's cost in placement and never excludes it; part of the choices ignore it. It applies
+ * to no more of a group than may be ejected, and only to servers that fail much more often than the group's median.
+ */
 import { Moment } from '../kinds/moment.js';
 import type { Compiled } from '../manifest/compiled.js';
 
+/** Decaying scores by instance, shared between proxies. */
 export type FailureScores = {
+  /** Adds a failure seen here. */
   readonly see: (instance: string, weight: number) => void;
+  /** Records a success, which lowers the score. */
   readonly good: (instance: string) => void;
-  readonly addReported: (told: readonly FailureScores.Report[]) => void;
-  /** What a server that fails costs beside all else, in milliseconds; servers that do not are left out. */
+  readonly addReported: (reports: readonly FailureScores.Report[]) => void;
+  /** Extra cost of failing servers, in ms; other servers are left out. */
   readonly costs: (group: Compiled.Group) => ReadonlyMap<string, number>;
-  /** What was seen here and is not yet told. */
+  /** Returns the failures seen here since the last call, to report them to other proxies. */
   readonly takeUnreported: () => readonly FailureScores.Report[];
-  readonly retain: (isHeld: (instance: string) => boolean) => void;
+  readonly retain: (isListed: (instance: string) => boolean) => void;
 };
 
 export declare namespace FailureScores {
+  /** Weighted count of failures of one server. */
   type Report = { readonly instance: string; readonly count: number };
 }
 
-const halfLife = 4000;
-const least = 3;
-const overMiddle = 3;
-const perFailure = 80;
-const mostCost = 600;
-const mostHeard = 20;
-const keptFor = 100;
-const afterSuccess = 0.8;
-const forgotten = 0.1;
-const none: ReadonlyMap<string, number> = new Map();
+const halfLifeMs = 4000;
+/** Servers with lower scores cost nothing extra. */
+const minScore = 3;
+/** A server must score at least this multiple of the group's median. */
+const medianFactor = 3;
+const costPerFailureMs = 80;
+const maxCostMs = 600;
+/** Most failures accepted in one report of a server. */
+const maxReported = 20;
+/** Costs of a group are computed at most once in this time. */
+const costsCachedMs = 100;
+/** Each success multiplies the score by this. */
+const successFactor = 0.8;
+/** After a success, a score below this is removed. */
+const negligibleScore = 0.1;
+const noCosts: ReadonlyMap<string, number> = new Map();
 
+/** Creates scores with no failures. */
 export const FailureScores = {
   of(): FailureScores {
     const scores = new Map<string, { readonly score: number; readonly at: Moment }>();
-    const made = new Map<string, { readonly costs: ReadonlyMap<string, number>; readonly at: Moment }>();
-    let waiting = new Map<string, number>();
+    const cache = new Map<string, { readonly costs: ReadonlyMap<string, number>; readonly at: Moment }>();
+    let unreported = new Map<string, number>();
     const scoreOf = (instance: string): number => {
       const known = scores.get(instance);
-      return known ? known.score * 2 ** (-Moment.since(known.at) / halfLife) : 0;
+      return known ? known.score * 2 ** (-Moment.since(known.at) / halfLifeMs) : 0;
     };
     const add = (instance: string, weight: number) =>
       void scores.set(instance, { score: scoreOf(instance) + weight, at: Moment.now() });
-    const reckon = (group: Compiled.Group): ReadonlyMap<string, number> => {
-      const all = group.servers
+    const computeCosts = (group: Compiled.Group): ReadonlyMap<string, number> => {
+      const ranked = group.servers
         .map(({ instance }) => ({ instance, score: scoreOf(instance) }))
         .sort((a, b) => b.score - a.score);
-      const middle = all[Math.floor(all.length / 2)]?.score ?? 0;
-      const most = Math.floor((all.length * group.ejection.percent) / 100);
-      const failing = all
-        .slice(0, most)
-        .filter(({ score }) => score >= least && score >= middle * overMiddle);
-      if (failing.length === 0) return none;
+      const median = ranked[Math.floor(ranked.length / 2)]?.score ?? 0;
+      const maxFailing = Math.floor((ranked.length * group.ejection.percent) / 100);
+      const failing = ranked
+        .slice(0, maxFailing)
+        .filter(({ score }) => score >= minScore && score >= median * medianFactor);
+      if (failing.length === 0) return noCosts;
       return new Map(
         failing.map(({ instance, score }) => [
           instance,
-          Math.min(mostCost, perFailure * (score - least + 1)),
+          Math.min(maxCostMs, costPerFailureMs * (score - minScore + 1)),
         ]),
       );
     };
     return {
       see(instance, weight) {
         add(instance, weight);
-        waiting.set(instance, (waiting.get(instance) ?? 0) + weight);
+        unreported.set(instance, (unreported.get(instance) ?? 0) + weight);
       },
       good(instance) {
-        const score = scoreOf(instance) * afterSuccess;
-        if (score < forgotten) scores.delete(instance);
+        const score = scoreOf(instance) * successFactor;
+        if (score < negligibleScore) scores.delete(instance);
         else scores.set(instance, { score, at: Moment.now() });
       },
-      addReported(told) {
-        for (const { instance, count } of told)
-          if (count > 0 && Number.isFinite(count)) add(instance, Math.min(count, mostHeard));
+      addReported(reports) {
+        for (const { instance, count } of reports)
+          if (count > 0 && Number.isFinite(count)) add(instance, Math.min(count, maxReported));
       },
       costs(group) {
-        if (scores.size === 0) return none;
-        const known = made.get(group.name);
-        if (known && Moment.since(known.at) < keptFor) return known.costs;
-        const costs = reckon(group);
-        made.set(group.name, { costs, at: Moment.now() });
+        if (scores.size === 0) return noCosts;
+        const known = cache.get(group.name);
+        if (known && Moment.since(known.at) < costsCachedMs) return known.costs;
+        const costs = computeCosts(group);
+        cache.set(group.name, { costs, at: Moment.now() });
         return costs;
       },
       takeUnreported() {
-        const told = [...waiting].map(([instance, count]) => ({ instance, count }));
-        waiting = new Map();
-        return told;
+        const reports = [...unreported].map(([instance, count]) => ({ instance, count }));
+        unreported = new Map();
+        return reports;
       },
-      retain(isHeld) {
-        for (const instance of scores.keys()) if (!isHeld(instance)) scores.delete(instance);
+      retain(isListed) {
+        for (const instance of scores.keys()) if (!isListed(instance)) scores.delete(instance);
       },
     };
   },
--- a/src/upstream/health-checker.ts
+++ b/src/upstream/health-checker.ts
@@ -1,10 +1,14 @@
-// Which servers are dark to this proxy: a connect or a proof of identity failed, or another proxy said so.
-// A dark server gets no request. One task for each dark server proves it again in the background, with
-// back-off, and what it proved is kept as a connection; only then may requests go there. A server that makes
-// a request wait, or that ended a connection just used, is asked beside the requests before one fails there. Who still
-// waits for an answer of a server is told when it is found dark. What was only heard from another proxy is proved once at
-// once, so that nobody is believed who merely is cut off himself, then seldom, and given up when a proxy says that the
-// server is back: else each loss costs many times as many connections as there are proxies times servers.
+/**
+ * Active health checks of unreachable ("dark") servers. A server is unreachable to this proxy when a connection or the
+ * check of its identity failed here, or when another proxy reported it. It gets no requests. One background task per
+ * unreachable server opens a connection again with back-off; requests resume once its identity is verified, and the
+ * connection goes to the pool. A server that delays a request, or that closed a connection just used, is checked in
+ * parallel before a request fails there. Requests that wait for a server are told when it is found unreachable.
+ *
+ * A report of another proxy is checked once at once, so that a proxy that has lost its own network is not believed; then
+ * seldom, and no more once a proxy reports that the server is back. Otherwise each failure would cost many times as many
+ * connections as there are proxies times servers.
+ */
 
 import { Moment } from '../kinds/moment.js';
 import { Timer } from '../kinds/timer.js';
@@ -12,14 +16,18 @@
 import type { Connection } from './connection.js';
 import type { Pool } from './pool.js';
 
+/** Tracks which servers this proxy can't reach. */
 export type HealthChecker = {
   readonly isUnreachable: (instance: string) => boolean;
+  /** Marks a server unreachable after a failure seen here. */
   readonly lost: (server: Compiled.Server) => void;
+  /** Checks a server in the background and marks it unreachable if the check fails. */
   readonly suspect: (server: Compiled.Server) => void;
+  /** Another proxy has found a server unreachable. */
   readonly reportUnreachable: (instance: string) => void;
-  /** Another proxy has proved again a server that this one only heard to be dark. */
+  /** Another proxy has reached a server again that this one knew only from a report to be unreachable. */
   readonly reportRecovered: (instance: string) => void;
-  /** Calls back once this proxy has found the server dark; the function returned ends the watch. */
+  /** Calls back once this proxy has found the server unreachable; the function returned ends the watch. */
   readonly watch: (instance: string, see: () => void) => () => void;
   readonly unreachable: () => readonly string[];
   readonly retain: (compiled: Compiled) => void;
@@ -27,6 +35,7 @@
 };
 
 export declare namespace HealthChecker {
+  /** What the checks use, and who is told of their results. */
   type Needs = {
     readonly pool: Pool;
     readonly newest: () => Compiled | undefined;
@@ -36,20 +45,21 @@
   };
 }
 
-type Darkness = { readonly stop: AbortController; readonly isHearsay: boolean };
+type Outage = { readonly stop: AbortController; readonly isReported: boolean };
 
-const proveWithin = 500;
-const first = 150;
-const longest = 1500;
-/** Rests between proofs of a server that another proxy found dark, once the first proof, made at once, has failed. */
-const afterHearsay = { first: 1500, longest: 4000 } as const;
-const askAgainAfter = 1000;
+const checkTimeoutMs = 500;
+const initialBackoffMs = 150;
+const maxBackoffMs = 1500;
+/** Back-off in ms for a server that another proxy reported, once the first check, made at once, has failed. */
+const reportedBackoffMs = { first: 1500, longest: 4000 } as const;
+/** At most one check of a suspected server within this time. */
+const suspectIntervalMs = 1000;
 
-/** Who waits for an answer of which server. */
-const watchersByServer = () => {
+/** Callbacks by the server that they wait for. */
+const createWatchers = () => {
   const watchers = new Map<string, Set<() => void>>();
   return {
-    tell(instance: string): void {
+    notify(instance: string): void {
       for (const see of [...(watchers.get(instance) ?? [])]) see();
     },
     add(instance: string, see: () => void): () => void {
@@ -67,105 +77,108 @@
 const find = (needs: HealthChecker.Needs, instance: string): Compiled.Server | undefined =>
   needs.newest()?.servers.get(instance);
 
-const prove = async (
+/** Opens a connection, which verifies the server's identity; undefined when that failed. */
+const check = async (
   needs: HealthChecker.Needs,
   server: Compiled.Server,
   stop: AbortSignal,
 ): Promise<Connection | undefined> => {
   const group = needs.newest()?.groups.get(server.group);
   if (!group) return undefined;
-  const limit = AbortSignal.any([stop, AbortSignal.timeout(proveWithin)]);
+  const limit = AbortSignal.any([stop, AbortSignal.timeout(checkTimeoutMs)]);
   return needs.pool.open(server, group, limit).catch(() => undefined);
 };
 
-type Proving = {
+type Checks = {
   readonly instance: string;
-  readonly darkness: Darkness;
-  /** What was only heard is not proved at the first try. */
+  readonly outage: Outage;
+  /** Called when the first check after a report of another proxy fails here too. */
   readonly onConfirmed: (server: Compiled.Server) => void;
-  readonly onProved: (server: Compiled.Server, isNews: boolean) => void;
+  readonly onHealthy: (server: Compiled.Server, wasConfirmed: boolean) => void;
 };
 
-/** Proves a dark server again and again, until it answers, has left the list or is stopped. */
-const proveUntilBack = async (needs: HealthChecker.Needs, proving: Proving): Promise<void> => {
-  const { instance, darkness, onConfirmed, onProved } = proving;
-  const { stop, isHearsay } = darkness;
-  const rests = isHearsay ? afterHearsay : { first, longest };
-  let span = isHearsay ? 0 : first;
+/** Checks an unreachable server until it answers, has left the list or the checks are stopped. */
+const checkUntilHealthy = async (needs: HealthChecker.Needs, checks: Checks): Promise<void> => {
+  const { instance, outage, onConfirmed, onHealthy } = checks;
+  const { stop, isReported } = outage;
+  const backoff = isReported ? reportedBackoffMs : { first: initialBackoffMs, longest: maxBackoffMs };
+  let delay = isReported ? 0 : initialBackoffMs;
   for (let count = 0; !stop.signal.aborted; count += 1) {
-    await Timer.pause(span * (0.75 + Math.random() / 2), stop.signal);
+    await Timer.pause(delay * (0.75 + Math.random() / 2), stop.signal);
     const server = find(needs, instance);
     if (!server || stop.signal.aborted) return;
-    const connection = await prove(needs, server, stop.signal);
+    const connection = await check(needs, server, stop.signal);
     if (connection) {
       needs.pool.give(connection);
-      return onProved(server, !isHearsay || count > 0);
+      return onHealthy(server, !isReported || count > 0);
     }
-    // A proof that was broken off has proved nothing.
+    // A check that was aborted says nothing of the server.
     if (stop.signal.aborted) return;
-    if (isHearsay && count === 0) onConfirmed(server);
-    span = Math.min(rests.longest, Math.max(rests.first, span * 2));
+    if (isReported && count === 0) onConfirmed(server);
+    delay = Math.min(backoff.longest, Math.max(backoff.first, delay * 2));
   }
 };
 
+/** Creates a checker that takes every server for reachable. */
 export const HealthChecker = {
   of(needs: HealthChecker.Needs): HealthChecker {
-    const dark = new Map<string, Darkness>();
-    const askedAt = new Map<string, Moment>();
-    const watchers = watchersByServer();
-    const tellDark = (server: Compiled.Server) => {
+    const outages = new Map<string, Outage>();
+    const checkedAt = new Map<string, Moment>();
+    const watchers = createWatchers();
+    const notifyUnreachable = (server: Compiled.Server) => {
       needs.onUnreachable(server);
-      watchers.tell(server.instance);
+      watchers.notify(server.instance);
     };
-    const begin = async (instance: string, isHearsay: boolean) => {
-      const darkness = { stop: new AbortController(), isHearsay };
-      dark.set(instance, darkness);
-      await proveUntilBack(needs, {
+    const startChecks = async (instance: string, isReported: boolean) => {
+      const outage = { stop: new AbortController(), isReported };
+      outages.set(instance, outage);
+      await checkUntilHealthy(needs, {
         instance,
-        darkness,
-        onConfirmed: tellDark,
-        onProved(server, isNews) {
-          dark.delete(instance);
-          if (isNews) needs.onRecovered(server);
+        outage,
+        onConfirmed: notifyUnreachable,
+        onHealthy(server, wasConfirmed) {
+          outages.delete(instance);
+          if (wasConfirmed) needs.onRecovered(server);
         },
       });
-      if (dark.get(instance) === darkness) dark.delete(instance);
+      if (outages.get(instance) === outage) outages.delete(instance);
     };
     const lost = (server: Compiled.Server) => {
-      if (dark.has(server.instance)) return;
-      tellDark(server);
-      void begin(server.instance, false);
+      if (outages.has(server.instance)) return;
+      notifyUnreachable(server);
+      void startChecks(server.instance, false);
     };
     return {
-      isUnreachable: (instance) => dark.has(instance),
-      unreachable: () => [...dark.keys()],
+      isUnreachable: (instance) => outages.has(instance),
+      unreachable: () => [...outages.keys()],
       lost,
       watch: watchers.add,
       suspect(server) {
-        const asked = askedAt.get(server.instance) ?? Moment.past;
-        if (dark.has(server.instance) || Moment.since(asked) < askAgainAfter) return;
-        askedAt.set(server.instance, Moment.now());
-        void prove(needs, server, new AbortController().signal).then((connection) => {
+        const last = checkedAt.get(server.instance) ?? Moment.past;
+        if (outages.has(server.instance) || Moment.since(last) < suspectIntervalMs) return;
+        checkedAt.set(server.instance, Moment.now());
+        void check(needs, server, new AbortController().signal).then((connection) => {
           if (connection) needs.pool.give(connection);
           else if (find(needs, server.instance)) lost(server);
         });
       },
       reportUnreachable(instance) {
-        if (!dark.has(instance) && find(needs, instance) && !needs.isRecentlyHealthy(instance))
-          void begin(instance, true);
+        if (!outages.has(instance) && find(needs, instance) && !needs.isRecentlyHealthy(instance))
+          void startChecks(instance, true);
       },
       reportRecovered(instance) {
-        const held = dark.get(instance);
-        if (!held?.isHearsay) return;
-        dark.delete(instance);
-        held.stop.abort();
+        const outage = outages.get(instance);
+        if (!outage?.isReported) return;
+        outages.delete(instance);
+        outage.stop.abort();
       },
       retain(compiled) {
-        for (const [instance, { stop }] of dark) if (!compiled.servers.has(instance)) stop.abort();
-        for (const instance of askedAt.keys()) if (!compiled.servers.has(instance)) askedAt.delete(instance);
+        for (const [instance, { stop }] of outages) if (!compiled.servers.has(instance)) stop.abort();
+        for (const instance of checkedAt.keys())
+          if (!compiled.servers.has(instance)) checkedAt.delete(instance);
       },
       stop() {
-        for (const { stop } of dark.values()) stop.abort();
+        for (const { stop } of outages.values()) stop.abort();
       },
     };
   },
--- a/src/upstream/identity.ts
+++ b/src/upstream/identity.ts
@@ -1,13 +1,17 @@
-// Who is at the other end? Each new connection asks before it carries a request. The service is proved
-// by what the group declares, or for model servers by their listing every model of the group; the
-// instance by the declared place, or by the x-instance-id header wherever a server sends one.
+/**
+ * Verifies who is at the other end of a new connection, before it carries a request. The service is verified by what the
+ * group declares, or for model servers by their listing every model of the group; the instance by the declared place, or
+ * by the x-instance-id header wherever a server sends one.
+ */
 import { Failure } from '../kinds/failure.js';
 import type { Compiled } from '../manifest/compiled.js';
 import type { Document } from '../manifest/document.js';
 
+/** The answer of a server to the identity request. */
 export type Identity = { readonly headers: Readonly<Record<string, unknown>>; readonly body: unknown };
 
-const follow = (value: unknown, pointer: string): unknown =>
+/** Resolves a JSON pointer (RFC 6901). */
+const resolvePointer = (value: unknown, pointer: string): unknown =>
   pointer
     .split('/')
     .slice(1)
@@ -21,15 +25,17 @@
   place.header !== undefined
     ? identity.headers[place.header]
     : place.pointer !== undefined
-      ? follow(identity.body, place.pointer)
+      ? resolvePointer(identity.body, place.pointer)
       : undefined;
 
 const listedModels = (body: unknown): readonly unknown[] => {
-  const data = follow(body, '/data');
-  return Array.isArray(data) ? data.map((entry) => follow(entry, '/id')) : [];
+  const data = resolvePointer(body, '/data');
+  return Array.isArray(data) ? data.map((entry) => resolvePointer(entry, '/id')) : [];
 };
 
+/** Checks answers to the identity request. */
 export const Identity = {
+  /** Throws a failure of kind `identity` unless the answer is that of the server and its group. */
   verify(identity: Identity, server: Compiled.Server, group: Compiled.Group): void {
     const { service, instance } = group.identity;
     const fail = (text: string, found: unknown) => {
@@ -37,13 +43,13 @@
     };
     if (service) {
       const found = readPlace(identity, service.at);
-      if (found !== service.is) fail('another service answers there', found);
+      if (found !== service.is) fail('another service answered', found);
     }
     const models = listedModels(identity.body);
     if (group.kind === 'model' && !group.models.every((model) => models.includes(model)))
-      fail('the models of the group are not served there', models);
+      fail("the server does not list all of the group's models", models);
     const found = instance ? readPlace(identity, instance) : identity.headers['x-instance-id'];
     if (found === undefined && !instance) return;
-    if (found !== server.instance) fail('another instance answers there', found);
+    if (found !== server.instance) fail('another instance answered', found);
   },
 };
--- a/src/upstream/placement.ts
+++ b/src/upstream/placement.ts
@@ -1,122 +1,152 @@
-// Where a prompt goes when its rule says how soon an answer is wanted: to the server with the least cost. A cost
-// counts in milliseconds of a server's reading: the tokens that the server is not thought to keep, the way to
-// another zone or region, a new connection, what of this proxy's runs there, and a charge that grows steeply once the
-// first token is likely to come late. What a server keeps is learned from where this proxy sent the same parts,
-// within the server's memory; where it knows nothing, rendezvous hashing on the shared parts names one holder, the
-// same for all proxies and regions. A server that came lately is not taken to keep anything by hashing alone.
+/**
+ * Cost-based load balancing for requests whose rule has latency targets: a request goes to the server with the least
+ * cost. The cost is in milliseconds of prefill time. It adds up the prompt tokens that are probably not cached there, the
+ * transfer to another zone or region, a new connection, this proxy's requests in flight there, and a charge that grows
+ * steeply once the first token is likely to miss its target. Cached prefixes are inferred from where this proxy sent the
+ * same prefixes, within the memory size of the group. Where nothing is known, rendezvous hashing on the shared prefix names
+ * one server, the same for all proxies and regions. A server that was added recently is not assumed to hold a prefix by
+ * hashing alone.
+ */
 import { Moment } from '../kinds/moment.js';
 import type { Compiled } from '../manifest/compiled.js';
 import { Candidate } from './candidate.js';
 import type { InFlight } from './in-flight.js';
 import { PrefillSpeed } from './prefill-speed.js';
 
+/** Chooses servers by cost and learns from the requests that were sent. */
 export type Placement = {
-  readonly choose: (among: readonly Candidate[], want: Placement.Request) => Candidate | undefined;
+  readonly choose: (among: readonly Candidate[], request: Placement.Request) => Candidate | undefined;
+  /** Records the prefixes of a request as cached; `recordFirstToken` takes the time to its first token in ms. */
   readonly recordSent: (
     server: Compiled.Server,
     group: Compiled.Group,
-    want: Placement.Request,
+    request: Placement.Request,
   ) => { readonly uncached: number; readonly recordFirstToken: (span: number) => void };
   readonly updateLoads: (loads: readonly Placement.Load[]) => void;
   readonly prefillSpeed: PrefillSpeed;
+  /** Forgets servers that the manifest no longer holds, and notes when others were first seen. */
   readonly retain: (compiled: Compiled) => void;
 };
 
 export declare namespace Placement {
+  /** Load that a server reported: requests queued and active there, and the share of its memory that is in use. */
   type Load = {
     readonly instance: string;
     readonly queued: number;
     readonly active: number;
     readonly bound: number;
   };
+  /** One part of a prompt; the last one is the request's own, those before it may be shared. */
   type Part = { readonly key: string; readonly tokens: number };
+  /** What the cost depends on; `aim` and `gap` are the rule's targets for the first token and between tokens, in ms. */
   type Request = {
     readonly parts: readonly Part[];
-    /** Behind which wall; each wall has its own part of what is remembered of a server. */
+    /** The isolation wall of the request; each wall has its own share of a server's assumed cache. */
     readonly wall: string;
     readonly tokens: number;
     readonly bytes: number;
     readonly aim: number;
     readonly gap: number;
   };
+  /** What placement reads from the proxy. */
   type Needs = {
     readonly region: () => string | undefined;
     readonly zone: string;
     readonly inFlight: InFlight;
-    /** What servers of a group that fail cost; nothing is known of the others. */
+    /** Extra cost of the failing servers of a group, in ms; servers that are left out cost nothing extra. */
     readonly failureCosts?: (group: Compiled.Group) => ReadonlyMap<string, number>;
     readonly hasIdle: (instance: string) => boolean;
     readonly random: () => number;
   };
 }
 
+/** Servers that rendezvous hashing names for a prefix: of all candidates, and of those in this region. */
 type Holders = {
   readonly first: string | undefined;
   readonly near: string | undefined;
 };
-type Chain = { readonly key: string; readonly tokens: number };
+/** A part of a prompt under the key of the whole prefix up to it. */
+type Prefix = { readonly key: string; readonly tokens: number };
 
-const farTrip = 110;
-/** What it costs to send a prompt to another region, and to another zone of the same one. */
-const leavingRegion = { base: 8, perKilobyte: 1 } as const;
-const leavingZone = { base: 4, perKilobyte: 3 } as const;
-const connecting = 12;
-const perJob = 2;
-const whenFull = 400;
-const bonuses = { first: 6, near: 4 } as const;
-const jitter = 2;
-const perLateness = { early: 0.08, late: 2 } as const;
-const keptMost = 4096;
-const settledAfter = 4000;
-const heardFor = 2500;
-const fullPart = 0.9;
-const usualTokens = 2000;
-const usualQueue = 2;
-const perDisturbed = 0.12;
-const perPause = 1;
-const unjudged = 1 / 16;
+const regionRoundTripMs = 110;
+/** Cost in ms of sending a prompt to another region, and to another zone of the same region. */
+const crossRegionCost = { base: 8, perKilobyte: 1 } as const;
+const crossZoneCost = { base: 4, perKilobyte: 3 } as const;
+const newConnectionCostMs = 12;
+const requestInFlightCostMs = 2;
+const fullServerCostMs = 400;
+/** Discounts in ms for the servers that rendezvous hashing names. */
+const holderDiscounts = { first: 6, near: 4 } as const;
+/** Random part of each cost, so that proxies with equal costs do not all choose the same server. */
+const jitterMs = 2;
+/** Cost per ms until the first token, and per ms beyond half of the target. */
+const latencyFactors = { early: 0.08, late: 2 } as const;
+/** Most prefixes remembered per server, over all walls. */
+const maxPrefixes = 4096;
+/** A server known for less time is not assumed to hold a prefix by hashing alone. */
+const settledAfterMs = 4000;
+/** Load reports older than this are ignored. */
+const loadExpiryMs = 2500;
+/** Share of a server's memory in use above which it counts as full. */
+const fullMemoryShare = 0.9;
+const initialMeanTokens = 2000;
+/** Queued requests that are normal and add no cost. */
+const normalQueueLength = 2;
+/** Cost per ms of long prefill and per request that is decoding there, since prefill delays their tokens. */
+const decodeDelayFactor = 0.12;
+/** Cost per ms of waiting prefill beyond half of the token gap target. */
+const waitFactor = 1;
+/** Share of the choices that ignore failure costs, so that a server that has recovered still gets requests. */
+const ignoreFailuresShare = 1 / 16;
 
-const none: Holders = { first: undefined, near: undefined };
+const noHolders: Holders = { first: undefined, near: undefined };
 
-/** Another region is never nearer than another zone. */
-const wayCost = (isFar: boolean, bytes: number): number => {
+/** Cost in ms of the transfer out of the zone; another region is never cheaper than another zone. */
+const transferCost = (isOtherRegion: boolean, bytes: number): number => {
   const costOf = ({ base, perKilobyte }: { readonly base: number; readonly perKilobyte: number }) =>
     base + (perKilobyte * bytes) / 1024;
-  const toZone = costOf(leavingZone);
-  return isFar ? Math.max(toZone, costOf(leavingRegion)) : toZone;
+  const toZone = costOf(crossZoneCost);
+  return isOtherRegion ? Math.max(toZone, costOf(crossRegionCost)) : toZone;
 };
 
-const chainsOf = (parts: readonly Placement.Part[]): Chain[] => {
-  const chains: Chain[] = [];
+const prefixesOf = (parts: readonly Placement.Part[]): Prefix[] => {
+  const prefixes: Prefix[] = [];
   let key = '';
   for (const part of parts) {
     key = `${key}/${part.key}`;
-    chains.push({ key, tokens: part.tokens });
+    prefixes.push({ key, tokens: part.tokens });
   }
-  return chains;
+  return prefixes;
 };
 
+/** Creates placement with nothing known of any server. */
 export const Placement = {
   of(needs: Placement.Needs): Placement {
-    const kept = new Map<string, Map<string, Map<string, number>>>();
-    const seenSince = new Map<string, Moment>();
+    // Tokens by instance, wall and prefix; the least recently used prefix comes first.
+    const cached = new Map<string, Map<string, Map<string, number>>>();
+    const firstSeen = new Map<string, Moment>();
     const loads = new Map<string, { readonly load: Placement.Load; readonly at: Moment; sent: number }>();
-    const reading = PrefillSpeed.of();
-    let isFirst = true;
-    let tokensUsual = usualTokens;
-    const heard = (instance: string) => {
-      const told = loads.get(instance);
-      return told && Moment.since(told.at) < heardFor ? told : undefined;
+    const prefillSpeed = PrefillSpeed.of();
+    let isInitial = true;
+    let meanTokens = initialMeanTokens;
+    const recentLoad = (instance: string) => {
+      const report = loads.get(instance);
+      return report && Moment.since(report.at) < loadExpiryMs ? report : undefined;
     };
     const isSettled = (instance: string) =>
-      Moment.since(seenSince.get(instance) ?? Moment.now()) > settledAfter;
-    const missing = (instance: string, wall: string, chains: readonly Chain[], isHolder: boolean): number => {
-      const held = kept.get(instance)?.get(wall);
+      Moment.since(firstSeen.get(instance) ?? Moment.now()) > settledAfterMs;
+    const uncachedTokens = (
+      instance: string,
+      wall: string,
+      prefixes: readonly Prefix[],
+      isHolder: boolean,
+    ): number => {
+      const known = cached.get(instance)?.get(wall);
       let tokens = 0;
-      let isKept = true;
-      chains.forEach(({ key, tokens: own }, index) => {
-        isKept &&= held?.has(key) === true || (isHolder && index < chains.length - 1);
-        if (!isKept) tokens += own;
+      let isCached = true;
+      prefixes.forEach(({ key, tokens: own }, index) => {
+        isCached &&= known?.has(key) === true || (isHolder && index < prefixes.length - 1);
+        if (!isCached) tokens += own;
       });
       return tokens;
     };
@@ -135,107 +165,110 @@
     };
     const costOf = (
       { server, group }: Candidate,
-      want: Placement.Request,
-      chains: readonly Chain[],
+      request: Placement.Request,
+      prefixes: readonly Prefix[],
       holders: Holders,
-      failing: Placement.Needs['failureCosts'],
+      failureCosts: Placement.Needs['failureCosts'],
     ): number => {
       const { instance, slots } = server;
       const level = needs.inFlight.of(instance);
-      const told = heard(instance);
-      const isFar = server.region !== needs.region();
+      const report = recentLoad(instance);
+      const isOtherRegion = server.region !== needs.region();
       const isHolder = instance === holders.first;
       const tokens =
-        chains.length === 0
-          ? want.tokens
-          : missing(instance, want.wall, chains, isHolder && isSettled(instance));
-      const speed = reading.tokensPerMs(instance, server.group);
-      const reads = tokens / speed;
-      const queued = (Math.max(0, (told?.load.queued ?? 0) - usualQueue) * tokensUsual) / speed;
-      const waits = Math.max(level.prefill / speed, queued);
-      const until = (isFar ? farTrip : 0) + waits + reads;
-      const late = Math.max(0, until - want.aim / 2);
+        prefixes.length === 0
+          ? request.tokens
+          : uncachedTokens(instance, request.wall, prefixes, isHolder && isSettled(instance));
+      const speed = prefillSpeed.tokensPerMs(instance, server.group);
+      const prefillMs = tokens / speed;
+      const queuedMs = (Math.max(0, (report?.load.queued ?? 0) - normalQueueLength) * meanTokens) / speed;
+      const waitMs = Math.max(level.prefill / speed, queuedMs);
+      const firstTokenMs = (isOtherRegion ? regionRoundTripMs : 0) + waitMs + prefillMs;
+      const lateMs = Math.max(0, firstTokenMs - request.aim / 2);
       const { jobs } = level;
-      const others = Math.max(level.decode, told?.load.active ?? 0);
-      const running = Math.max(jobs, (told?.load.active ?? 0) + (told?.load.queued ?? 0));
-      const isFull = (slots !== undefined && running >= slots) || (told?.load.bound ?? 0) > fullPart;
+      const decoding = Math.max(level.decode, report?.load.active ?? 0);
+      const running = Math.max(jobs, (report?.load.active ?? 0) + (report?.load.queued ?? 0));
+      const isFull = (slots !== undefined && running >= slots) || (report?.load.bound ?? 0) > fullMemoryShare;
       return (
-        reads +
-        (server.zone === needs.zone ? 0 : wayCost(isFar, want.bytes)) +
-        (needs.hasIdle(instance) ? 0 : connecting) +
-        jobs * perJob +
-        (failing?.(group).get(instance) ?? 0) +
-        (isFull ? whenFull : 0) +
-        until * perLateness.early +
-        late * perLateness.late +
-        Math.max(0, waits - want.gap / 2) * perPause +
-        Math.max(0, reads - want.gap / 2) * perDisturbed * others -
-        (isHolder ? bonuses.first : 0) -
-        (instance === holders.near ? bonuses.near : 0) +
-        needs.random() * jitter
+        prefillMs +
+        (server.zone === needs.zone ? 0 : transferCost(isOtherRegion, request.bytes)) +
+        (needs.hasIdle(instance) ? 0 : newConnectionCostMs) +
+        jobs * requestInFlightCostMs +
+        (failureCosts?.(group).get(instance) ?? 0) +
+        (isFull ? fullServerCostMs : 0) +
+        firstTokenMs * latencyFactors.early +
+        lateMs * latencyFactors.late +
+        Math.max(0, waitMs - request.gap / 2) * waitFactor +
+        Math.max(0, prefillMs - request.gap / 2) * decodeDelayFactor * decoding -
+        (isHolder ? holderDiscounts.first : 0) -
+        (instance === holders.near ? holderDiscounts.near : 0) +
+        needs.random() * jitterMs
       );
     };
     return {
-      choose(among, want) {
+      choose(among, request) {
         if (among.length <= 1) return among[0];
-        const chains = chainsOf(want.parts);
-        const shared = chains.at(-2)?.key;
-        const holders = shared === undefined ? none : holdersOf(among, shared);
-        const failing = needs.failureCosts && needs.random() >= unjudged ? needs.failureCosts : undefined;
-        let best: { readonly pick: Candidate; readonly cost: number } | undefined;
-        for (const pick of among) {
-          const cost = costOf(pick, want, chains, holders, failing);
-          if (!best || cost < best.cost) best = { pick, cost };
+        const prefixes = prefixesOf(request.parts);
+        const shared = prefixes.at(-2)?.key;
+        const holders = shared === undefined ? noHolders : holdersOf(among, shared);
+        const failureCosts =
+          needs.failureCosts && needs.random() >= ignoreFailuresShare ? needs.failureCosts : undefined;
+        let best: { readonly candidate: Candidate; readonly cost: number } | undefined;
+        for (const candidate of among) {
+          const cost = costOf(candidate, request, prefixes, holders, failureCosts);
+          if (!best || cost < best.cost) best = { candidate, cost };
         }
-        return best?.pick;
+        return best?.candidate;
       },
-      recordSent({ instance, region }, group, want) {
-        const chains = chainsOf(want.parts);
-        const walls = kept.get(instance) ?? new Map<string, Map<string, number>>();
-        kept.set(instance, walls);
-        const held = walls.get(want.wall) ?? new Map<string, number>();
-        walls.set(want.wall, held);
-        const uncached = chains.length === 0 ? want.tokens : missing(instance, want.wall, chains, false);
-        if (chains.length > 0) tokensUsual += (uncached - tokensUsual) / 50;
-        const told = heard(instance);
-        const isSure =
-          chains.length > 1 &&
-          chains.slice(0, -1).every(({ key }) => held.has(key)) &&
+      recordSent({ instance, region }, group, request) {
+        const prefixes = prefixesOf(request.parts);
+        const walls = cached.get(instance) ?? new Map<string, Map<string, number>>();
+        cached.set(instance, walls);
+        const known = walls.get(request.wall) ?? new Map<string, number>();
+        walls.set(request.wall, known);
+        const uncached =
+          prefixes.length === 0 ? request.tokens : uncachedTokens(instance, request.wall, prefixes, false);
+        if (prefixes.length > 0) meanTokens += (uncached - meanTokens) / 50;
+        const report = recentLoad(instance);
+        // Speed is learned only where the uncached tokens are certain and nothing else waits for prefill.
+        const isCertain =
+          prefixes.length > 1 &&
+          prefixes.slice(0, -1).every(({ key }) => known.has(key)) &&
           needs.inFlight.of(instance).prefill === 0 &&
-          (told?.load.queued ?? 0) + (told?.sent ?? 0) === 0;
-        if (told) told.sent += 1;
-        for (const { key, tokens } of chains.slice(0, -1)) {
-          held.delete(key);
-          held.set(key, tokens);
+          (report?.load.queued ?? 0) + (report?.sent ?? 0) === 0;
+        if (report) report.sent += 1;
+        for (const { key, tokens } of prefixes.slice(0, -1)) {
+          known.delete(key);
+          known.set(key, tokens);
         }
-        const room = (group.memory ?? Number.POSITIVE_INFINITY) / 2 / walls.size;
-        let sum = [...held.values()].reduce((total, one) => total + one, 0);
-        for (const [key, tokens] of held) {
-          if (sum <= room && held.size <= keptMost / walls.size) break;
-          held.delete(key);
+        const capacity = (group.memory ?? Number.POSITIVE_INFINITY) / 2 / walls.size;
+        let sum = [...known.values()].reduce((total, one) => total + one, 0);
+        for (const [key, tokens] of known) {
+          if (sum <= capacity && known.size <= maxPrefixes / walls.size) break;
+          known.delete(key);
           sum -= tokens;
         }
         return {
           uncached,
           recordFirstToken(span) {
-            const trip = region === needs.region() ? 0 : farTrip;
-            const pace = reading.slowdownOf(instance, group.name);
-            if (isSure) reading.recordFirstToken(group.name, uncached, (span - trip) / pace);
+            const roundTrip = region === needs.region() ? 0 : regionRoundTripMs;
+            const slowdown = prefillSpeed.slowdownOf(instance, group.name);
+            if (isCertain) prefillSpeed.recordFirstToken(group.name, uncached, (span - roundTrip) / slowdown);
           },
         };
       },
-      prefillSpeed: reading,
-      updateLoads(told) {
-        for (const load of told) loads.set(load.instance, { load, at: Moment.now(), sent: 0 });
+      prefillSpeed,
+      updateLoads(reports) {
+        for (const load of reports) loads.set(load.instance, { load, at: Moment.now(), sent: 0 });
       },
       retain({ servers }) {
-        reading.retain((instance) => servers.has(instance));
+        prefillSpeed.retain((instance) => servers.has(instance));
         for (const instance of loads.keys()) if (!servers.has(instance)) loads.delete(instance);
-        for (const instance of kept.keys()) if (!servers.has(instance)) kept.delete(instance);
-        for (const instance of seenSince.keys()) if (!servers.has(instance)) seenSince.delete(instance);
+        for (const instance of cached.keys()) if (!servers.has(instance)) cached.delete(instance);
+        for (const instance of firstSeen.keys()) if (!servers.has(instance)) firstSeen.delete(instance);
         for (const instance of servers.keys())
-          if (!seenSince.has(instance)) seenSince.set(instance, isFirst ? Moment.past : Moment.now());
-        isFirst = servers.size === 0;
+          if (!firstSeen.has(instance)) firstSeen.set(instance, isInitial ? Moment.past : Moment.now());
+        isInitial = servers.size === 0;
       },
     };
   },
--- a/src/upstream/pool.ts
+++ b/src/upstream/pool.ts
@@ -1,15 +1,18 @@
-// Proved connections by instance. One is taken for one exchange and given back; those of an instance
-// that the newest manifest or platform list no longer holds at that address are dropped. A server takes so many
-// connections from all proxies together: each holds its even part, ends an idle one before it opens beyond that,
-// and opens none for a request that would be beyond.
+/**
+ * Pool of connections whose server identity was verified, by instance. A connection is taken for one exchange and given
+ * back. Idle connections of an instance that the newest manifest or platform list no longer holds at that address are
+ * closed. A server's connection limit covers all proxies together: each proxy holds an equal share, closes an idle
+ * connection before it opens one beyond its share, and opens none for a request that would exceed it.
+ */
 import { Address } from '../kinds/address.js';
 import { Failure } from '../kinds/failure.js';
 import { Moment } from '../kinds/moment.js';
 import type { Compiled } from '../manifest/compiled.js';
 import { Connection } from './connection.js';
 
+/** Connections to servers, kept open between exchanges. */
 export type Pool = {
-  /** A connection that may carry the request: a kept one, or else a new one. */
+  /** Returns a connection that may carry the request: an idle one, or else a new one. */
   readonly take: (
     server: Compiled.Server,
     group: Compiled.Group,
@@ -22,24 +25,28 @@
   readonly close: () => Promise<void>;
   readonly count: () => number;
   readonly hasIdle: (instance: string) => boolean;
-  /** Most connections that this proxy may hold to one server of the group. */
+  /** The most connections that this proxy may hold to one server of the group. */
   readonly connectionLimit: (group: Compiled.Group) => number;
 };
 
-const mostIdle = 32;
-const justUsed = 3000;
-const portion = 0.95;
-const leastPart = 3;
+/** Most idle connections kept per server. */
+const maxIdle = 32;
+/** An idle connection used within this time that closes hints that its server has failed. */
+const recentlyUsedMs = 3000;
+/** Share of a server's connection limit that the proxies use together. */
+const usableShare = 0.95;
+const minConnections = 3;
 
-const isHeld = (compiled: Compiled | undefined, server: Compiled.Server): boolean => {
-  const held = compiled?.servers.get(server.instance);
+const isListed = (compiled: Compiled | undefined, server: Compiled.Server): boolean => {
+  const listed = compiled?.servers.get(server.instance);
   return (
-    held !== undefined &&
-    held.group === server.group &&
-    Address.text(held.address) === Address.text(server.address)
+    listed !== undefined &&
+    listed.group === server.group &&
+    Address.text(listed.address) === Address.text(server.address)
   );
 };
 
+/** Creates an empty pool. */
 export const Pool = {
   of(terms: {
     readonly onWrongIdentity: (server: Compiled.Server, cause: Error) => void;
@@ -50,7 +57,7 @@
     const idle = new Map<string, Connection[]>();
     const all = new Set<Connection>();
     const usedAt = new WeakMap<Connection, Moment>();
-    const forget = (connection: Connection) => {
+    const remove = (connection: Connection) => {
       all.delete(connection);
       const list = idle.get(connection.server.instance);
       if (!list?.includes(connection)) return;
@@ -58,34 +65,37 @@
         connection.server.instance,
         list.filter((one) => one !== connection),
       );
-      if (Moment.since(usedAt.get(connection) ?? Moment.past) < justUsed)
+      if (Moment.since(usedAt.get(connection) ?? Moment.past) < recentlyUsedMs)
         terms.onUnexpectedClose(connection.server);
     };
-    const held = new Map<string, number>();
-    let mostProxies = 1;
-    const part: Pool['connectionLimit'] = ({ connections }) => {
-      mostProxies = Math.max(mostProxies, terms.proxies());
+    const counts = new Map<string, number>();
+    // The highest count seen, since a proxy that is missing from the roster may still hold connections.
+    let maxProxies = 1;
+    const connectionLimit: Pool['connectionLimit'] = ({ connections }) => {
+      maxProxies = Math.max(maxProxies, terms.proxies());
       if (connections === undefined) return Number.POSITIVE_INFINITY;
-      return Math.max(leastPart, Math.floor((connections * portion) / mostProxies));
+      return Math.max(minConnections, Math.floor((connections * usableShare) / maxProxies));
     };
-    const countOne = (instance: string, by: number) => {
-      const count = (held.get(instance) ?? 0) + by;
-      if (count > 0) held.set(instance, count);
-      else held.delete(instance);
+    const changeCount = (instance: string, by: number) => {
+      const count = (counts.get(instance) ?? 0) + by;
+      if (count > 0) counts.set(instance, count);
+      else counts.delete(instance);
     };
-    const isFull = (instance: string, group: Compiled.Group) => (held.get(instance) ?? 0) >= part(group);
-    const endIdle = (instance: string) => {
+    const isFull = (instance: string, group: Compiled.Group) =>
+      (counts.get(instance) ?? 0) >= connectionLimit(group);
+    const closeOldestIdle = (instance: string) => {
       const [oldest] = idle.get(instance) ?? [];
       if (oldest) void oldest.destroy();
     };
-    /** Of connections that carry no more one is kept, which tells when the server goes; here the others end. */
+    /** Keeps one connection that carries no more requests, whose closing shows that the server is gone; ends others. */
     const addIdle = (connection: Connection) => {
       const { instance } = connection.server;
       const list = idle.get(instance) ?? [];
-      const spent = list.filter((one) => !one.mayCarry(true));
-      idle.set(instance, [...list.filter((one) => !spent.includes(one)), connection]);
-      for (const one of spent) void one.destroy();
+      const exhausted = list.filter((one) => !one.mayCarry(true));
+      idle.set(instance, [...list.filter((one) => !exhausted.includes(one)), connection]);
+      for (const one of exhausted) void one.destroy();
     };
+    /** Takes the most recently used idle connection that may carry the request; closes those that are unusable. */
     const takeIdle = (
       server: Compiled.Server,
       mayCarry: (connection: Connection) => boolean,
@@ -103,32 +113,34 @@
     };
     const open: Pool['open'] = async (server, group, signal) => {
       const { instance } = server;
-      if (isFull(instance, group)) endIdle(instance);
-      countOne(instance, 1);
+      if (isFull(instance, group)) closeOldestIdle(instance);
+      changeCount(instance, 1);
       try {
         const connection = await Connection.open(server, group, signal);
         all.add(connection);
         connection.onClose(() => {
-          countOne(instance, -1);
-          forget(connection);
+          changeCount(instance, -1);
+          remove(connection);
         });
         return connection;
       } catch (error) {
-        countOne(instance, -1);
+        changeCount(instance, -1);
         if (Failure.is(error, 'identity')) terms.onWrongIdentity(server, error);
         throw error;
       }
     };
     return {
       count: () => all.size,
-      connectionLimit: part,
+      connectionLimit,
       hasIdle: (instance) => idle.get(instance)?.some((one) => one.mayCarry(true)) ?? false,
       async take(server, group, signal, mayCarry) {
-        const kept = takeIdle(server, mayCarry);
-        if (kept) return kept;
-        if (isFull(server.instance, group)) endIdle(server.instance);
+        const reused = takeIdle(server, mayCarry);
+        if (reused) return reused;
+        if (isFull(server.instance, group)) closeOldestIdle(server.instance);
         if (isFull(server.instance, group))
-          throw Failure.of('connect', 'as many connections as this proxy may hold', { why: 'full' });
+          throw Failure.of('connect', "this proxy's connection limit for the server is reached", {
+            why: 'full',
+          });
         return open(server, group, signal);
       },
       open,
@@ -137,8 +149,9 @@
         if (connection.state() !== 'idle') return;
         const list = idle.get(connection.server.instance) ?? [];
         const group = terms.newest()?.groups.get(connection.server.group);
-        const isBeyond = group !== undefined && (held.get(connection.server.instance) ?? 0) > part(group);
-        if (isBeyond || list.length >= mostIdle || !isHeld(terms.newest(), connection.server))
+        const isOverLimit =
+          group !== undefined && (counts.get(connection.server.instance) ?? 0) > connectionLimit(group);
+        if (isOverLimit || list.length >= maxIdle || !isListed(terms.newest(), connection.server))
           void connection.destroy();
         else {
           usedAt.set(connection, Moment.now());
@@ -147,14 +160,14 @@
       },
       retain(compiled) {
         for (const [instance, list] of idle) {
-          const kept = list.filter((one) => isHeld(compiled, one.server));
-          if (kept.length === 0) idle.delete(instance);
-          else idle.set(instance, kept);
-          for (const one of list) if (!kept.includes(one)) void one.destroy();
+          const retained = list.filter((one) => isListed(compiled, one.server));
+          if (retained.length === 0) idle.delete(instance);
+          else idle.set(instance, retained);
+          for (const one of list) if (!retained.includes(one)) void one.destroy();
         }
         for (const { instance, group } of compiled.servers.values()) {
-          const most = part(compiled.groups.get(group)!);
-          while ((held.get(instance) ?? 0) > most && idle.get(instance)?.length) endIdle(instance);
+          const limit = connectionLimit(compiled.groups.get(group)!);
+          while ((counts.get(instance) ?? 0) > limit && idle.get(instance)?.length) closeOldestIdle(instance);
         }
       },
       async close() {
--- a/src/upstream/suspicion.ts
+++ b/src/upstream/suspicion.ts
@@ -1,26 +1,26 @@
 /**
- * When a silent server is suspected, so that the prover asks it beside the requests that wait: after a part of the time
- * that is wanted, since a request that has waited for all of it can't be served in time any more.
+ * When a silent server is suspected, so that the health checker checks it in parallel to the requests that wait: after a
+ * part of the target time, since a request that has waited for all of it can no longer be served in time.
  */
 
-/** Spans of silence, in milliseconds, after which a server is suspected. */
+/** Times of silence, in milliseconds, after which a server is suspected. */
 export type Suspicion = {
-  /** After a request was sent whose rule wants its first byte within the aim. */
+  /** After a request was sent, by the rule's target for the first byte. */
   readonly firstAfter: (aim: number | undefined) => number;
-  /** Between two events of a stream whose rule wants no longer pause than the gap. */
+  /** Between two events of a stream, by the rule's target for the gap between them; undefined when it has none. */
   readonly pauseAfter: (gap: number | undefined) => number | undefined;
 };
 
-const longest = 1000;
-/** Below this a server that is merely busy would be asked as often as one that is gone. */
-const shortest = 600;
-const partOfAim = 0.9;
-const partOfGap = 0.7;
+const maxSilenceMs = 1000;
+/** Below this a server that is merely busy would be checked as often as one that has failed. */
+const minSilenceMs = 600;
+const aimShare = 0.9;
+const gapShare = 0.7;
 
-const within = (span: number): number => Math.min(longest, Math.max(shortest, span));
+const clamp = (span: number): number => Math.min(maxSilenceMs, Math.max(minSilenceMs, span));
 
-/** The spans of silence that make a server suspect. */
+/** Derives the times of silence from a rule's targets. */
 export const Suspicion: Suspicion = {
-  firstAfter: (aim) => (aim === undefined ? longest : within(aim * partOfAim)),
-  pauseAfter: (gap) => (gap === undefined ? undefined : within(gap * partOfGap)),
+  firstAfter: (aim) => (aim === undefined ? maxSilenceMs : clamp(aim * aimShare)),
+  pauseAfter: (gap) => (gap === undefined ? undefined : clamp(gap * gapShare)),
 };
--- a/src/upstream/warmup.ts
+++ b/src/upstream/warmup.ts
@@ -1,38 +1,49 @@
-// Servers that warm up may get so many requests in any second, over all live proxies together. Each proxy's part
-// follows from the roster alone, by rank in a hash of (server, proxy), so the parts add up to the bound without
-// talk; a part that rounds down to nothing is nothing. A proxy counts what it sent in the last second and a bit,
-// since what it sent may be on its way for a while, and what it has chosen the server for and not sent yet, since
-// many requests may wait for their connections at once. While the roster fills, as after a restart of all or when a
-// cut region comes back, parts reckoned from it would add up to many times the bound, so they are nothing.
+/**
+ * Rate limit for servers that warm up: a maximum of requests in any second, over all live proxies together. Each proxy's
+ * share follows from the roster alone, by rank in a hash of (server, proxy), so that the shares add up to the limit without
+ * communication; a share that rounds down to zero is zero. A proxy counts what it sent in the last 1.1 s, since a request
+ * may be in transit for a while, and the reservations of requests that are not sent yet, since many may wait for their
+ * connections at once. While the roster fills, as after a restart of all nodes or when a partitioned region is back, shares
+ * computed from it would add up to many times the limit, so they are zero.
+ */
 import { Moment } from '../kinds/moment.js';
 import type { Compiled } from '../manifest/compiled.js';
 import { Candidate } from './candidate.js';
 
+/** Tracks servers that warm up and the requests sent to them. */
 export type Warmup = {
+  /** Starts the warm-up of a server for `span` ms; never shortens one that runs. */
   readonly start: (instance: string, span: number) => void;
   readonly isWarming: (instance: string) => boolean;
   readonly allows: (server: Compiled.Server, group: Compiled.Group) => boolean;
+  /** Reserves a request to the server, to be confirmed or released. */
   readonly reserve: (instance: string) => Warmup.Reservation;
   readonly warming: () => readonly string[];
-  readonly retain: (isHeld: (instance: string) => boolean) => void;
+  readonly retain: (isListed: (instance: string) => boolean) => void;
 };
 
 export declare namespace Warmup {
+  /** A request that a server was chosen for and that is not sent yet. */
   type Reservation = { readonly confirmSent: () => void; readonly release: () => void };
 }
 
-const window = 1100;
-const margin = 500;
-const portion = 1.15;
-const fillsWithin = 1500;
-const mostGrowth = 1.5;
+/** A second, and a tenth for requests in transit. */
+const windowMs = 1100;
+/** Added to each warm-up. */
+const marginMs = 500;
+/** The proxies together may send this multiple of the group's limit. */
+const slack = 1.15;
+const rosterFillMs = 1500;
+/** Growth of the roster beyond this factor shows that it is filling. */
+const maxRosterGrowth = 1.5;
 
+/** Creates warm-up for the proxy `own`, with no server in it. */
 export const Warmup = {
   of(own: string, roster: () => readonly string[]): Warmup {
     const until = new Map<string, Moment>();
     const sends = new Map<string, Moment[]>();
-    const entered = new Map<string, number>();
-    const isCold = (instance: string): boolean => {
+    const reserved = new Map<string, number>();
+    const isWarming = (instance: string): boolean => {
       const end = until.get(instance);
       if (end === undefined) return false;
       if (!Moment.isPast(end)) return true;
@@ -40,58 +51,58 @@
       sends.delete(instance);
       return false;
     };
-    let known = roster().length;
-    let filledAt = Moment.past;
+    let knownCount = roster().length;
+    let lastGrowth = Moment.past;
     const isFilling = (count: number): boolean => {
-      if (count > known * mostGrowth) filledAt = Moment.now();
-      if (count > known * mostGrowth || count < known) known = count;
-      return Moment.since(filledAt) < fillsWithin;
+      if (count > knownCount * maxRosterGrowth) lastGrowth = Moment.now();
+      if (count > knownCount * maxRosterGrowth || count < knownCount) knownCount = count;
+      return Moment.since(lastGrowth) < rosterFillMs;
     };
-    const partOf = (instance: string, bound: number): number => {
+    const shareOf = (instance: string, limit: number): number => {
       const proxies = roster();
       if (isFilling(proxies.length) || proxies.length === 0) return 0;
       const others = proxies.filter((proxy) => proxy !== own);
-      const weigh = (proxy: string) => Candidate.hash(Candidate.hash(0x811c9dc5, instance), proxy);
-      const mine = weigh(own);
-      const rank = others.filter((proxy) => weigh(proxy) > mine).length;
+      const scoreOf = (proxy: string) => Candidate.hash(Candidate.hash(0x811c9dc5, instance), proxy);
+      const ownScore = scoreOf(own);
+      const rank = others.filter((proxy) => scoreOf(proxy) > ownScore).length;
       const count = others.length + 1;
-      return Math.floor(bound / count) + (rank < bound % count ? 1 : 0);
+      return Math.floor(limit / count) + (rank < limit % count ? 1 : 0);
     };
     return {
-      isWarming: isCold,
+      isWarming,
       start(instance, span) {
-        const end = Moment.after(span + margin);
+        const end = Moment.after(span + marginMs);
         if (span > 0 && end > (until.get(instance) ?? Moment.past)) until.set(instance, end);
       },
       allows(server, group) {
-        if (!group.warmup || !isCold(server.instance)) return true;
-        const recent = (sends.get(server.instance) ?? []).filter((at) => Moment.since(at) < window);
+        if (!group.warmup || !isWarming(server.instance)) return true;
+        const recent = (sends.get(server.instance) ?? []).filter((at) => Moment.since(at) < windowMs);
         sends.set(server.instance, recent);
-        const open = entered.get(server.instance) ?? 0;
-        return recent.length + open < partOf(server.instance, Math.floor(group.warmup.per_second * portion));
+        const open = reserved.get(server.instance) ?? 0;
+        return recent.length + open < shareOf(server.instance, Math.floor(group.warmup.per_second * slack));
       },
       reserve(instance) {
-        let isIn = true;
-        entered.set(instance, (entered.get(instance) ?? 0) + 1);
-        const leave = () => {
-          if (!isIn) return;
-          isIn = false;
-          const left = (entered.get(instance) ?? 1) - 1;
-          if (left > 0) entered.set(instance, left);
-          else entered.delete(instance);
+        let isOpen = true;
+        reserved.set(instance, (reserved.get(instance) ?? 0) + 1);
+        const release = () => {
+          if (!isOpen) return;
+          isOpen = false;
+          const left = (reserved.get(instance) ?? 1) - 1;
+          if (left > 0) reserved.set(instance, left);
+          else reserved.delete(instance);
         };
         return {
-          release: leave,
+          release,
           confirmSent() {
-            leave();
-            if (isCold(instance)) sends.set(instance, [...(sends.get(instance) ?? []), Moment.now()]);
+            release();
+            if (isWarming(instance)) sends.set(instance, [...(sends.get(instance) ?? []), Moment.now()]);
           },
         };
       },
-      warming: () => [...until.keys()].filter(isCold),
-      retain(isHeld) {
-        for (const kept of [until, sends])
-          for (const instance of kept.keys()) if (!isHeld(instance)) kept.delete(instance);
+      warming: () => [...until.keys()].filter(isWarming),
+      retain(isListed) {
+        for (const map of [until, sends])
+          for (const instance of map.keys()) if (!isListed(instance)) map.delete(instance);
       },
     };
   },
--- a/src/upstream/weights.ts
+++ b/src/upstream/weights.ts
@@ -1,10 +1,15 @@
-// Which group next, when a rule splits its requests by weight: one is drawn by chance among those that have an
-// open server, in proportion to what the rule says. A group of weight 0 gets nothing.
+/**
+ * Weighted choice of a group, for rules that split their requests by weight: one is drawn at random among the groups that
+ * have an eligible server, in proportion to the rule's weights. A group of weight 0 gets no requests.
+ */
 import type { Candidate } from './candidate.js';
 
+/** Weight by group name; a group without one has weight 0. */
 export type Weights = Readonly<Record<string, number>>;
 
+/** Draws groups by weight. */
 export const Weights = {
+  /** Returns the candidates of the drawn group; none when all weights are 0. */
   draw(open: readonly Candidate[], weights: Weights, random: () => number): readonly Candidate[] {
     const names = [...new Set(open.map(({ group }) => group.name as string))];
     const sum = names.reduce((total, name) => total + (weights[name] ?? 0), 0);
--- a/tools/experiment/policies.ts
+++ b/tools/experiment/policies.ts
@@ -14,24 +14,32 @@
   'an oracle of what is unread': [
     change(
       'placement',
-      'const waits = Math.max(level.prefill / speed, queued);',
-      'const waits = Math.max(level.prefill, (needs as any).unread(instance)) / speed;',
+      'const waitMs = Math.max(level.prefill / speed, queuedMs);',
+      'const waitMs = Math.max(level.prefill, (needs as any).unread(instance)) / speed;',
     ),
   ],
   'no reports': [
-    change('placement', 'updateLoads(told) {', 'updateLoads(told) { if (told.length >= 0) return;'),
+    change('placement', 'updateLoads(reports) {', 'updateLoads(reports) { if (reports.length >= 0) return;'),
   ],
   'no agreed holder': [change('placement', 'isHolder && isSettled(instance)', 'false')],
-  'no memory of what was sent': [change('placement', 'held?.has(key) === true ||', 'false ||')],
+  'no memory of what was sent': [change('placement', 'known?.has(key) === true ||', 'false ||')],
   'no cost of another zone': [
-    change('placement', 'const toZone = costOf(leavingZone);', 'const toZone = 0;'),
+    change('placement', 'const toZone = costOf(crossZoneCost);', 'const toZone = 0;'),
+  ],
+  'no cost of a connection': [
+    change('placement', 'const newConnectionCostMs = 12;', 'const newConnectionCostMs = 0;'),
   ],
-  'no cost of a connection': [change('placement', 'const connecting = 12;', 'const connecting = 0;')],
   'no charge for lateness': [change('placement', 'late: 2 }', 'late: 0 }')],
-  'no cost of jobs here': [change('placement', 'const perJob = 2;', 'const perJob = 0;')],
-  'no cost of disturbing': [change('placement', 'const perDisturbed = 0.12;', 'const perDisturbed = 0;')],
-  'no pace of servers': [change('prefill-speed', 'slowdownOf: paceOf,\n', 'slowdownOf: () => 1,\n')],
-  'no sums of failures': [change('failure-scores', 'if (scores.size === 0) return none;', 'return none;')],
+  'no cost of jobs here': [
+    change('placement', 'const requestInFlightCostMs = 2;', 'const requestInFlightCostMs = 0;'),
+  ],
+  'no cost of disturbing': [
+    change('placement', 'const decodeDelayFactor = 0.12;', 'const decodeDelayFactor = 0;'),
+  ],
+  'no pace of servers': [change('prefill-speed', 'slowdownOf,\n', 'slowdownOf: () => 1,\n')],
+  'no sums of failures': [
+    change('failure-scores', 'if (scores.size === 0) return noCosts;', 'return noCosts;'),
+  ],
   'no ejection': [change('ejector', 'health.failures += 1;', 'return;')],
   'no bound for warming servers': [change('warmup', 'if (!group.warmup ||', 'if (group.warmup ||')],
   'no extra tries': [
@@ -41,7 +49,7 @@
     change('budget', 'held: () => purse.total() / whole', 'held: () => 0'),
   ],
   'pending requests wait for a dark server': [
-    change('health-checker', 'watchers.tell(server.instance);', ''),
+    change('health-checker', 'watchers.notify(server.instance);', ''),
   ],
   'no word of dark servers': [
     change(
