--- a/test/dark.test.ts
+++ b/test/dark.test.ts
@@ -1,5 +1,8 @@
-// Dark servers: the first proxy that finds one dark tells the others, so that it costs the fleet hardly a try;
-// it is proved again in the background and then fed gently. Frames from a newer program are dropped and counted.
+/**
+ * Unreachable ("dark") servers: the first proxy that finds one reports it to the others, so that they lose no tries on it.
+ * It is checked in the background, and goes through slow start each time it is back. Also: frames of a kind that only a
+ * newer version knows are dropped and counted.
+ */
 import assert from 'node:assert/strict';
 import { connect } from 'node:net';
 import { after, before, describe, it } from 'node:test';
@@ -9,17 +12,17 @@
 import type { FleetKit } from '../tools/fleet-kit.js';
 import { Bench } from './bench.js';
 
-const serve: Bench.Handle = (_request, response) => Bench.sse(response, ['one']);
+const answerOne: Bench.Handle = (_request, response) => Bench.sse(response, ['one']);
 
-describe('dark', () => {
+describe('unreachable servers', () => {
   let bench: Bench;
   let a: Bench.BackEnd;
   let b: Bench.BackEnd;
 
   before(async () => {
     bench = await Bench.start({ fronts: 3, hasFaults: true });
-    a = await bench.backEnd({ instance: 'a1', group: 'llm', region: 'a', handle: serve });
-    b = await bench.backEnd({ instance: 'b1', group: 'llm', region: 'b', handle: serve });
+    a = await bench.backEnd({ instance: 'a1', group: 'llm', region: 'a', handle: answerOne });
+    b = await bench.backEnd({ instance: 'b1', group: 'llm', region: 'b', handle: answerOne });
     await bench.list([a, b]);
   });
   after(() => bench.stop());
@@ -34,18 +37,18 @@
   const darkAt = async (front: number) =>
     ((await (await fetch(`http://${bench.kit.fronts[front]!.ops}/health`)).json()) as { dark: string[] })
       .dark;
-  const untilDark = async (wanted: readonly string[]) => {
+  const waitUntilDark = async (wanted: readonly string[]) => {
     for (const front of [0, 1, 2])
       while (JSON.stringify(await darkAt(front)) !== JSON.stringify(wanted))
         await new Promise((resolve) => setImmediate(resolve));
   };
 
-  it('tells the others of a server that is gone, so that none of them tries it', async () => {
+  it('reports a stopped server to the other proxies, so that none of them tries it', async () => {
     for (let count = 0; count < 60; count += 1) await chatAt(count);
     await a.stop();
     const first = await chatAt(0);
     assert.equal(first.headers['bramblebend-region'], 'b');
-    await untilDark(['a1']);
+    await waitUntilDark(['a1']);
     for (let count = 0; count < 30; count += 1) {
       const answer = await chatAt(count);
       assert.equal(answer.status, 200);
@@ -53,22 +56,22 @@
     }
   });
 
-  it('proves it again in the background, and feeds it gently each time that it is back', async () => {
-    const fedAt = (front: FleetKit.Front) =>
+  it('checks it in the background, and starts slow start each time it is back', async () => {
+    const slowStartsAt = (front: FleetKit.Front) =>
       fetch(`http://${front.ops}/log`)
         .then((answer) => answer.json() as Promise<{ message: string; instance?: string }[]>)
         .then((log) => log.filter((one) => one.message === 'fed gently' && one.instance === 'a1').length);
-    for (const times of ['first', 'again within the ramp']) {
-      const before = await Promise.all(bench.kit.fronts.map(fedAt));
+    for (const times of ['first', 'again during slow start']) {
+      const before = await Promise.all(bench.kit.fronts.map(slowStartsAt));
       if (times !== 'first') {
         await a.stop();
         assert.equal((await chatAt(0)).status, 200);
-        await untilDark(['a1']);
+        await waitUntilDark(['a1']);
       }
-      a = await bench.backEnd({ ...a, handle: serve });
-      await untilDark([]);
+      a = await bench.backEnd({ ...a, handle: answerOne });
+      await waitUntilDark([]);
       while ((await chatAt(0)).headers['bramblebend-region'] !== 'a');
-      const after = await Promise.all(bench.kit.fronts.map(fedAt));
+      const after = await Promise.all(bench.kit.fronts.map(slowStartsAt));
       for (const [index, count] of after.entries()) assert.ok(count > before[index]!, `${times}: ${index}`);
     }
   });
@@ -103,27 +106,27 @@
     const seen: string[] = [];
     await new Promise<void>((resolve) => {
       const socket = connect(Number(port), host);
-      let held: Buffer = Buffer.alloc(0);
-      const beats = setInterval(() => socket.write(encode({ novelty: { text: 'again' } })), 100);
+      let received: Buffer = Buffer.alloc(0);
+      const interval = setInterval(() => socket.write(encode({ novelty: { text: 'again' } })), 100);
       socket.write(encode({ novelty: { text: 'before hello' } }));
       socket.write(encode({ hello: { self, version: '9', aim: 'session', newer: ['a'] } }));
       socket.on('data', (chunk: Buffer) => {
-        held = Buffer.concat([held, chunk]);
-        while (held.length >= 4 && held.length >= 4 + held.readUInt32BE(0)) {
-          seen.push(Frame.decode(held.subarray(4, 4 + held.readUInt32BE(0)))!.kind);
-          held = held.subarray(4 + held.readUInt32BE(0));
+        received = Buffer.concat([received, chunk]);
+        while (received.length >= 4 && received.length >= 4 + received.readUInt32BE(0)) {
+          seen.push(Frame.decode(received.subarray(4, 4 + received.readUInt32BE(0)))!.kind);
+          received = received.subarray(4 + received.readUInt32BE(0));
         }
         if (seen.filter((kind) => kind === 'ping').length <= 15) return;
-        clearInterval(beats);
+        clearInterval(interval);
         socket.end();
       });
       socket.on('close', () => {
-        clearInterval(beats);
+        clearInterval(interval);
         resolve();
       });
     });
     assert.ok(seen.includes('welcome'));
-    assert.ok(seen.filter((kind) => kind === 'ping').length > 15, 'the link outlived the frames');
+    assert.ok(seen.filter((kind) => kind === 'ping').length > 15, 'the link stays open after unknown frames');
     const metrics = await (await fetch(`http://${core.http}/metrics`)).text();
     assert.match(metrics, /bramblebend_frames_unknown [1-9]/);
     assert.deepEqual(
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -1,5 +1,7 @@
-// Servers that fail part of their requests, judged by what all proxies saw: the failures of many proxies add up and
-// fade, make a server dearer and never close it, and hold neither for a whole group nor beyond its share.
+/**
+ * Failure scores of servers that fail part of their requests: failures seen by many proxies add up and decay, raise the
+ * cost of a server without excluding it, and apply neither to a whole group nor to more of it than may be ejected.
+ */
 import assert from 'node:assert/strict';
 import { afterEach, describe, it, mock } from 'node:test';
 import { FailureSums } from '../src/duty/failure-sums.js';
@@ -27,31 +29,31 @@
   ejection: { consecutive: 5, base: 5000, percent: 30 },
   servers: names.map((instance) => ({ instance, group: 'g', region: 'a', zone: 'a-1', slots: 64 })),
 } as unknown as Compiled.Group;
-const picks = group.servers.map((server) => ({ server, group })) as unknown as readonly Candidate[];
-const want = { parts: [], wall: '', tokens: 100, bytes: 100, aim: 1000, gap: 500 };
+const candidates = group.servers.map((server) => ({ server, group })) as unknown as readonly Candidate[];
+const request = { parts: [], wall: '', tokens: 100, bytes: 100, aim: 1000, gap: 500 };
 
-describe('failures of servers', () => {
-  it('add up over proxies, each of which saw one, and fade', () => {
+describe('failure scores', () => {
+  it('add up over proxies, each of which saw one failure, and decay', () => {
     const pass = clock();
     const proxies = Array.from({ length: 6 }, () => FailureScores.of());
     for (const one of proxies) one.see('s3', 1);
-    assert.equal(proxies[0]!.costs(group).size, 0, 'one failure is nothing');
-    const told = proxies.flatMap((one) => one.takeUnreported());
-    assert.deepEqual(proxies[0]!.takeUnreported(), [], 'told once');
+    assert.equal(proxies[0]!.costs(group).size, 0, 'one failure costs nothing');
+    const reports = proxies.flatMap((one) => one.takeUnreported());
+    assert.deepEqual(proxies[0]!.takeUnreported(), [], 'reported once');
     pass(200);
-    for (const one of proxies) one.addReported(told);
+    for (const one of proxies) one.addReported(reports);
     for (const one of proxies) assert.deepEqual([...one.costs(group).keys()], ['s3']);
     assert.ok(proxies[0]!.costs(group).get('s3')! <= 600);
     proxies[1]!.addReported([{ instance: 's3', count: 1e9 }]);
     pass(200);
-    assert.equal(proxies[1]!.costs(group).get('s3'), 600, 'what is told is bounded');
+    assert.equal(proxies[1]!.costs(group).get('s3'), 600, 'reports are bounded');
     pass(12_000);
     assert.equal(proxies[0]!.costs(group).size, 0);
     pass(60_000);
     assert.equal(proxies[1]!.costs(group).size, 0);
   });
 
-  it('weigh less after each success', () => {
+  it('fall with each success', () => {
     const pass = clock();
     const one = FailureScores.of();
     for (let count = 0; count < 5; count += 1) one.see('s1', 1);
@@ -61,7 +63,7 @@
     assert.equal(one.costs(group).size, 0);
   });
 
-  it('hold for no more than the share that may be ejected, and not where all fail alike', () => {
+  it('apply to no more than the share that may be ejected, and not where all fail alike', () => {
     const pass = clock();
     const one = FailureScores.of();
     one.addReported(names.slice(0, 4).map((instance, index) => ({ instance, count: 4 + index })));
@@ -74,7 +76,7 @@
     assert.equal(one.costs(group).size, 0);
   });
 
-  it('make a server dearer than the others, with a share of the picks left to it', () => {
+  it('raise the cost of a server, which still gets a share of the choices', () => {
     clock();
     const random = Random.of(9);
     const failures = FailureScores.of();
@@ -89,15 +91,15 @@
     });
     const counts = new Map<string, number>();
     for (let count = 0; count < 4000; count += 1) {
-      const name = placement.choose(picks, want)!.server.instance;
+      const name = placement.choose(candidates, request)!.server.instance;
       counts.set(name, (counts.get(name) ?? 0) + 1);
     }
     assert.ok(counts.get('s4')! > 0 && counts.get('s4')! < 100, `${counts.get('s4')} of 4000`);
     assert.ok(counts.get('s5')! > 300, `${counts.get('s5')} of 4000`);
   });
 
-  it('are summed at a core, which passes on the worst', async () => {
-    const told = await new Promise<readonly Frame.Failed[]>((resolve) => {
+  it('are summed at a control node, which forwards the highest', async () => {
+    const reports = await new Promise<readonly Frame.Failed[]>((resolve) => {
       const sums = FailureSums.of((failed) => {
         sums.stop();
         resolve(failed);
@@ -106,7 +108,7 @@
         sums.add([{ instance, count: 1 }]);
       sums.add([{ instance: 'x39', count: 2.5 }]);
     });
-    assert.equal(told.length, 16);
-    assert.deepEqual(told[0], { instance: 'x39', count: 3.5 });
+    assert.equal(reports.length, 16);
+    assert.deepEqual(reports[0], { instance: 'x39', count: 3.5 });
   });
 });
--- a/test/misdirected.test.ts
+++ b/test/misdirected.test.ts
@@ -1,5 +1,7 @@
-// A server that answers for another one: the list still names an instance at an address that is already another's.
-// One such answer keeps this proxy's later requests away, until the list says otherwise or a short span is over.
+/**
+ * Misdirected requests: the list still has an instance at an address that another one uses already. After one such answer
+ * this proxy sends no more requests there, until the list shows another address or a short time has passed.
+ */
 import assert from 'node:assert/strict';
 import { after, before, beforeEach, describe, it } from 'node:test';
 import type { Document } from '../src/manifest/document.js';
@@ -33,15 +35,15 @@
   ],
 } as unknown as Document;
 
-const serve: Bench.Handle = (_incoming, response) => void response.end('served');
-const isAnother: Bench.Handle = (_incoming, response) => {
+const answerServed: Bench.Handle = (_incoming, response) => void response.end('served');
+const answerMisdirected: Bench.Handle = (_incoming, response) => {
   response.writeHead(421, { 'not-executed': 'true' });
   response.end();
 };
 
-describe('an address that is another server’s by now', () => {
+describe('an address that another server uses now', () => {
   let bench: Bench;
-  let gone: Bench.BackEnd;
+  let stale: Bench.BackEnd;
   let other: Bench.BackEnd;
 
   const call = () => Bench.call(bench.kit.fronts[0]!.listen, '/single/x', undefined, { authorization: '' });
@@ -56,52 +58,57 @@
 
   before(async () => {
     bench = await Bench.start({ manifest });
-    gone = await bench.backEnd({ instance: 'r1', group: 'lookup', region: 'a', handle: serve });
-    other = await bench.backEnd({ instance: 'r2', group: 'lookup', region: 'b', handle: serve });
-    await bench.list([gone, other]);
+    stale = await bench.backEnd({ instance: 'r1', group: 'lookup', region: 'a', handle: answerServed });
+    other = await bench.backEnd({ instance: 'r2', group: 'lookup', region: 'b', handle: answerServed });
+    await bench.list([stale, other]);
   });
   after(() => bench.stop());
   beforeEach(() => {
-    gone.handle = serve;
-    gone.reached.length = 0;
+    stale.handle = answerServed;
+    stale.reached.length = 0;
     other.reached.length = 0;
   });
 
-  it('costs one refusal on a route that allows one server, and nothing more goes there', async () => {
-    await untilReached(gone);
-    gone.reached.length = 0;
-    gone.handle = isAnother;
-    while (gone.reached.length === 0) await call();
+  it('fails one request on a route that allows one server, and gets no more', async () => {
+    await untilReached(stale);
+    stale.reached.length = 0;
+    stale.handle = answerMisdirected;
+    while (stale.reached.length === 0) await call();
     const began = performance.now();
     assert.equal(await refusals(60), 0);
-    assert.ok(performance.now() - began < 4500, 'this machine was too busy for the test');
-    assert.equal(gone.reached.length, 1);
-    const told = (await (await fetch(`http://${bench.kit.fronts[0]!.ops}/health`)).json()) as {
+    assert.ok(performance.now() - began < 4500, 'the machine was too slow for this test');
+    assert.equal(stale.reached.length, 1);
+    const health = (await (await fetch(`http://${bench.kit.fronts[0]!.ops}/health`)).json()) as {
       out: string[];
     };
-    assert.deepEqual(told.out, ['r1']);
+    assert.deepEqual(health.out, ['r1']);
   });
 
-  it('gets requests again after a short span, though the list stays as it was', {
+  it('gets requests again after a short time, though the list is unchanged', {
     timeout: 20_000,
   }, async () => {
-    await untilReached(gone);
+    await untilReached(stale);
     assert.equal(await refusals(20), 0);
   });
 
-  it('gets requests at once where the list shows it at another address', async () => {
-    gone.handle = isAnother;
-    while (gone.reached.length === 0) await call();
-    const moved = await bench.backEnd({ instance: 'r1', group: 'lookup', region: 'a', handle: serve });
+  it('gets requests at once when the list shows the instance at another address', async () => {
+    stale.handle = answerMisdirected;
+    while (stale.reached.length === 0) await call();
+    const moved = await bench.backEnd({ instance: 'r1', group: 'lookup', region: 'a', handle: answerServed });
     await bench.list([moved, other]);
     const began = performance.now();
     await untilReached(moved);
-    assert.ok(performance.now() - began < 4500, 'before the span is over');
-    assert.equal(gone.reached.length, 1);
+    assert.ok(performance.now() - began < 4500, 'before the time is over');
+    assert.equal(stale.reached.length, 1);
   });
 
-  it('is refused at once as not run while the list knows no other server', async () => {
-    const alone = await bench.backEnd({ instance: 'r3', group: 'lookup', region: 'a', handle: isAnother });
+  it('is answered at once as not run while the list has no other server', async () => {
+    const alone = await bench.backEnd({
+      instance: 'r3',
+      group: 'lookup',
+      region: 'a',
+      handle: answerMisdirected,
+    });
     await bench.list([alone]);
     const answers = [await call(), await call(), await call()];
     assert.deepEqual(
--- a/test/nearer.test.ts
+++ b/test/nearer.test.ts
@@ -1,5 +1,7 @@
-// A node that left its own zone's control node, for its word was old, goes back to it once it sits elsewhere; one
-// that never met a near one stays where it is.
+/**
+ * Choice of the parent node: a node that left the control node of its own zone because that one's data was stale returns
+ * to it once it is connected elsewhere; a node that never connected to one in its own zone stays where it is.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Stamp } from '../src/kinds/stamp.js';
@@ -27,7 +29,7 @@
   }));
 
 describe('a nearer parent', () => {
-  it('is gone back to when the one in the own zone was left for its old word', async () => {
+  it('in the own zone is returned to after it was left because its data was stale', async () => {
     const ages = { near: 60_000, far: 0 };
     const open = async (node: 'near' | 'far', zone: string) => {
       const roll = rollOf(node, 'control', zone);
@@ -73,7 +75,7 @@
     }
   });
 
-  it('is looked for only when a near one was met, and is then dialled first', () => {
+  it('is sought only when one in the own zone was connected before, and is then dialled first', () => {
     const seeds = ['10.0.0.1:1', '10.0.0.2:1', '10.0.0.3:1'];
     const places = Places.of(seeds, 'node', false);
     const isNear = (zone: string) => zone === 'a-1';
--- a/test/silent-servers.test.ts
+++ b/test/silent-servers.test.ts
@@ -1,5 +1,7 @@
-// Servers that fall silent: how long a silence makes one suspect, who is told when one is found dark, what becomes of a
-// connection that doesn't come up, and what is believed of other proxies.
+/**
+ * Servers that stop answering: after which silence one is suspected, which requests are told when one is found
+ * unreachable, how a try ends whose connection is not established, and how reports of other proxies are checked.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { setTimeout as pause } from 'node:timers/promises';
@@ -16,17 +18,17 @@
 const group = { name: 'llm', proof: { header: 'only-instance' } } as unknown as Compiled.Group;
 const serverOf = (instance: string) => ({ instance, group: 'llm' }) as unknown as Compiled.Server;
 
-const proverOf = (answers: (instance: string) => boolean) => {
+const createChecker = (answers: (instance: string) => boolean) => {
   const opened: string[] = [];
   const dark: string[] = [];
   const back: string[] = [];
   const servers = new Map(['s1', 's2'].map((name) => [name, serverOf(name)]));
-  const prover = HealthChecker.of({
+  const checker = HealthChecker.of({
     pool: {
       give() {},
       async open(server: Compiled.Server) {
         opened.push(server.instance);
-        if (!answers(server.instance)) throw new Error('nobody there');
+        if (!answers(server.instance)) throw new Error('connection refused');
         return { server } as Connection;
       },
     } as unknown as Pool,
@@ -35,11 +37,11 @@
     onUnreachable: ({ instance }) => void dark.push(instance),
     onRecovered: ({ instance }) => void back.push(instance),
   });
-  return { prover, opened, dark, back };
+  return { checker, opened, dark, back };
 };
 
 describe('suspicion', () => {
-  it('comes after a part of the aim or of the pause, within bounds', () => {
+  it('begins after a part of the first-byte or gap target, within bounds', () => {
     assert.equal(Suspicion.firstAfter(800), 720);
     assert.equal(Suspicion.firstAfter(100), 600);
     assert.equal(Suspicion.firstAfter(20_000), 1000);
@@ -49,41 +51,41 @@
   });
 });
 
-describe('a server that is found dark', () => {
-  it('is told to those who wait for it, and to nobody who has stopped waiting', () => {
-    const { prover } = proverOf(() => false);
+describe('an unreachable server', () => {
+  it('is told to the watchers of that server, except those that have ended their watch', () => {
+    const { checker } = createChecker(() => false);
     const told: string[] = [];
-    prover.watch('s1', () => told.push('waits'));
-    const forget = prover.watch('s1', () => told.push('has gone'));
-    prover.watch('s2', () => told.push('waits for another'));
-    forget();
-    prover.lost(serverOf('s1'));
-    assert.deepEqual(told, ['waits']);
-    assert.ok(prover.isUnreachable('s1'));
-    prover.stop();
+    checker.watch('s1', () => told.push('watcher'));
+    const unwatch = checker.watch('s1', () => told.push('ended'));
+    checker.watch('s2', () => told.push('watcher of another'));
+    unwatch();
+    checker.lost(serverOf('s1'));
+    assert.deepEqual(told, ['watcher']);
+    assert.ok(checker.isUnreachable('s1'));
+    checker.stop();
   });
 
-  it('is believed of another proxy only once it does not answer here either', async () => {
-    const { prover, opened, dark, back } = proverOf((instance) => instance === 's2');
+  it('is confirmed after a report of another proxy only if a check here fails too', async () => {
+    const { checker, opened, dark, back } = createChecker((instance) => instance === 's2');
     const told: string[] = [];
-    for (const name of ['s1', 's2']) prover.watch(name, () => told.push(name));
-    prover.reportUnreachable('s1');
-    prover.reportUnreachable('s2');
+    for (const name of ['s1', 's2']) checker.watch(name, () => told.push(name));
+    checker.reportUnreachable('s1');
+    checker.reportUnreachable('s2');
     await pause(50);
     assert.deepEqual(opened.sort(), ['s1', 's2']);
-    assert.deepEqual([prover.unreachable(), dark, told], [['s1'], ['s1'], ['s1']]);
-    prover.reportRecovered('s1');
-    assert.equal(prover.isUnreachable('s1'), false, 'another proxy has proved it again');
+    assert.deepEqual([checker.unreachable(), dark, told], [['s1'], ['s1'], ['s1']]);
+    checker.reportRecovered('s1');
+    assert.equal(checker.isUnreachable('s1'), false, 'another proxy has reached it again');
     await pause(400);
-    assert.equal(opened.length, 2, 'and this one does not ask any more');
+    assert.equal(opened.length, 2, 'checks here have ended');
     assert.deepEqual(back, []);
-    prover.stop();
+    checker.stop();
   });
 
-  it('is not confirmed by a proof that was broken off when another proxy had it back', async () => {
+  it('is not confirmed by a check that was aborted because another proxy reached it', async () => {
     const dark: string[] = [];
     const servers = new Map([['s1', serverOf('s1')]]);
-    const prover = HealthChecker.of({
+    const checker = HealthChecker.of({
       pool: {
         give() {},
         open: (_server: unknown, _group: unknown, signal: AbortSignal) =>
@@ -96,27 +98,27 @@
       onUnreachable: ({ instance }) => void dark.push(instance),
       onRecovered() {},
     });
-    prover.reportUnreachable('s1');
+    checker.reportUnreachable('s1');
     await pause(40);
-    prover.reportRecovered('s1');
+    checker.reportRecovered('s1');
     await pause(40);
-    assert.deepEqual([dark, prover.unreachable()], [[], []]);
+    assert.deepEqual([dark, checker.unreachable()], [[], []]);
   });
 
-  it('that this proxy found itself is proved here, whatever others say', () => {
-    const { prover } = proverOf(() => false);
-    prover.lost(serverOf('s1'));
-    prover.reportRecovered('s1');
-    assert.ok(prover.isUnreachable('s1'));
-    prover.stop();
+  it('that this proxy detected itself stays unreachable, whatever others report', () => {
+    const { checker } = createChecker(() => false);
+    checker.lost(serverOf('s1'));
+    checker.reportRecovered('s1');
+    assert.ok(checker.isUnreachable('s1'));
+    checker.stop();
   });
 });
 
-const pick = { server: serverOf('s1'), group } as Candidate;
+const candidate = { server: serverOf('s1'), group } as Candidate;
 const never = new AbortController().signal;
 
 const runTrial = (pool: Partial<Pool>, onLost?: (end: () => void) => () => void) =>
-  Trial.run(pick, {
+  Trial.run(candidate, {
     pool: pool as Pool,
     inFlight: InFlight.of(),
     request: () => ({ method: 'GET', path: '/', headers: {}, body: null }),
@@ -135,7 +137,7 @@
   });
 
 describe('a try', () => {
-  it('leaves a connection that does not come up, unsent, and asks for the server to be looked at', async () => {
+  it('ends unsent when its connection is not established in time, and makes the server suspect', async () => {
     const began = performance.now();
     const trial = await runTrial({
       take: (_server, _group, signal) =>
@@ -160,7 +162,7 @@
     assert.deepEqual(seen, ['suspect']);
   });
 
-  it('keeps a connection that comes up in the same turn as its time ends, as after the process was held up', async () => {
+  it('uses a connection established in the same event-loop turn as its timeout, as after a blocked process', async () => {
     const connection = {
       mayCarry: () => true,
       destroy: async () => {},
@@ -189,8 +191,8 @@
     assert.deepEqual([trial.kind, 'why' in trial && trial.why], ['lost', 'reset']);
   });
 
-  it('ends when its server is found dark, as one that may have run', async () => {
-    let isForgotten = false;
+  it('ends when its server is found unreachable, as one that may have run', async () => {
+    let isUnwatched = false;
     let settle: (exchange: unknown) => void = () => {};
     const connection = {
       mayCarry: () => true,
@@ -207,10 +209,10 @@
     const trial = await runTrial({ take: async () => connection }, (end) => {
       setTimeout(end, 30);
       return () => {
-        isForgotten = true;
+        isUnwatched = true;
       };
     });
     assert.deepEqual([trial.kind, 'why' in trial && trial.why], ['lost', 'reset']);
-    assert.ok(isForgotten);
+    assert.ok(isUnwatched);
   });
 });
--- a/test/upstream.test.ts
+++ b/test/upstream.test.ts
@@ -1,5 +1,7 @@
-// The pure parts of the way upstream, each with a clock or a chance of the test's own: draws by weight, warm-up and
-// the operator's allowance over any window, placement, reading speeds, Retry-After, and a process that was frozen.
+/**
+ * Unit tests of the upstream modules with a mocked clock and seeded random numbers: weighted choice, the limits of warm-up
+ * and of the retry budget over any window, placement, prefill speed, Retry-After, and a process that was suspended.
+ */
 import assert from 'node:assert/strict';
 import { afterEach, describe, it, mock } from 'node:test';
 import type { Compiled } from '../src/manifest/compiled.js';
@@ -19,28 +21,28 @@
   mock.method(process, 'hrtime', () => [Math.floor(now / 1000), (now % 1000) * 1e6]);
   return {
     now: () => now,
-    pass(span: number) {
+    advance(span: number) {
       now += span;
     },
   };
 };
 afterEach(() => mock.restoreAll());
 
-const chance = (seed: number) => {
+const seededRandom = (seed: number) => {
   const random = Random.of(seed);
   return () => random.below(1_000_000) / 1_000_000;
 };
-const pickOf = (instance: string, group = 'g', region = 'a'): Candidate =>
+const candidateOf = (instance: string, group = 'g', region = 'a'): Candidate =>
   ({
     server: { instance, group, region, zone: `${region}-1`, isOpen: true, slots: undefined, warming: 0 },
     group: { name: group, memory: undefined, warmup: { per_second: 20, span: 60_000 } },
   }) as unknown as Candidate;
-const most = (times: readonly number[], span: number): number =>
+const maxInWindow = (times: readonly number[], span: number): number =>
   Math.max(...times.map((from) => times.filter((at) => at >= from && at < from + span).length));
 
 describe('weights', () => {
-  it('draw groups in proportion among those with an open server, and never one of weight 0', () => {
-    const random = chance(7);
+  it('choose groups in proportion among those with an open server, and never one of weight 0', () => {
+    const random = seededRandom(7);
     const draw = (open: Candidate[], weights: Record<string, number>) => {
       const counts: Record<string, number> = {};
       for (let count = 0; count < 6000; count += 1)
@@ -48,7 +50,12 @@
           counts[name] = (counts[name] ?? 0) + 1;
       return counts;
     };
-    const open = [pickOf('x1', 'x'), pickOf('x2', 'x'), pickOf('y1', 'y'), pickOf('z1', 'z')];
+    const open = [
+      candidateOf('x1', 'x'),
+      candidateOf('x2', 'x'),
+      candidateOf('y1', 'y'),
+      candidateOf('z1', 'z'),
+    ];
     const { x, y, z } = draw(open, { x: 1, y: 2, z: 0 });
     assert.equal(z, undefined);
     assert.ok(Math.abs(x! - 2000) < 150 && Math.abs(y! - 4000) < 150, `${x} and ${y} of 6000`);
@@ -61,16 +68,16 @@
   const proxies = ['p1', 'p2', 'p3'];
   const start = () => proxies.map((own) => Warmup.of(own, () => proxies));
 
-  it('lets through no more than its bound in any second, however long a choice waits to be sent', () => {
+  it('exceeds its limit in no second, however long a reserved request waits to be sent', () => {
     const time = clock();
     const random = Random.of(3);
     const warmups = start();
-    const cold = pickOf('cold');
+    const cold = candidateOf('cold');
     for (const one of warmups) one.start('cold', 60_000);
     const waiting: { at: number; send: () => void }[] = [];
     const sent: number[] = [];
     for (let step = 0; step < 1500; step += 1) {
-      time.pass(5);
+      time.advance(5);
       for (const one of warmups) {
         if (!one.allows(cold.server, cold.group)) continue;
         const place = one.reserve('cold');
@@ -87,25 +94,25 @@
       }
     }
     const bound = 20 * 1.15;
-    assert.ok(most(sent, 1000) <= bound, `${most(sent, 1000)} in a second, where ${bound} may be`);
+    assert.ok(maxInWindow(sent, 1000) <= bound, `${maxInWindow(sent, 1000)} in a second, limit ${bound}`);
     assert.ok(sent.length > 80, `${sent.length} in 7.5 s`);
   });
 
-  it('lets through no more than its bound while rosters fill after a restart of all', () => {
+  it('exceeds its limit in no second while rosters fill after a restart of all proxies', () => {
     const time = clock();
     const random = Random.of(5);
     const names = Array.from({ length: 80 }, (_none, index) => `front-${index}`);
     const rosters: string[][] = names.map(() => []);
     const warmups = names.map((own, index) => Warmup.of(own, () => rosters[index]!));
-    const cold = pickOf('cold');
+    const cold = candidateOf('cold');
     for (const one of warmups) one.start('cold', 60_000);
     const sent: number[] = [];
     for (let step = 0; step < 400; step += 1) {
-      time.pass(20);
+      time.advance(20);
       const joined = names.slice(0, Math.floor(step * 0.8));
       names.forEach((own, index) => {
-        const hears = random.below(10) === 0;
-        if (hears && joined.includes(own)) rosters[index] = joined;
+        const receives = random.below(10) === 0;
+        if (receives && joined.includes(own)) rosters[index] = joined;
         const one = warmups[index]!;
         if (!joined.includes(own) || !one.allows(cold.server, cold.group)) return;
         one.reserve('cold').confirmSent();
@@ -113,28 +120,28 @@
       });
     }
     const bound = 20 * 1.5 + 5;
-    assert.ok(most(sent, 1000) <= bound, `${most(sent, 1000)} in a second, where ${bound} may be`);
+    assert.ok(maxInWindow(sent, 1000) <= bound, `${maxInWindow(sent, 1000)} in a second, limit ${bound}`);
     const late = sent.filter((at) => at > time.now() - 2000);
-    assert.ok(late.length >= 20, `${late.length} in the last 2 s, when all know all`);
+    assert.ok(late.length >= 20, `${late.length} in the last 2 s, with complete rosters`);
   });
 
-  it('is over after its span, and forgets servers that are gone', () => {
+  it('ends after its duration, and forgets servers that were removed', () => {
     const time = clock();
     const [one] = start();
-    const cold = pickOf('cold');
+    const cold = candidateOf('cold');
     one!.start('cold', 1000);
     while (one!.allows(cold.server, cold.group)) one!.reserve('cold').confirmSent();
     one!.start('gone', 60_000);
     one!.retain((instance) => instance === 'cold');
     assert.deepEqual(one!.warming(), ['cold']);
-    time.pass(2000);
+    time.advance(2000);
     assert.equal(one!.isWarming('cold'), false);
     assert.equal(one!.allows(cold.server, cold.group), true);
   });
 });
 
-describe('the allowance for extra tries', () => {
-  it('stays below its count in any window over all proxies, each restarted twice within it', () => {
+describe('retry budget', () => {
+  it('stays within its limit in any window over all proxies, each restarted twice within it', () => {
     const time = clock();
     const random = Random.of(11);
     const tries = 60;
@@ -144,7 +151,7 @@
     const starts = budgets.map(() => [] as number[]);
     const spent: number[] = [];
     for (let step = 0; step < 4000; step += 1) {
-      time.pass(10);
+      time.advance(10);
       budgets.forEach((budget, index) => {
         const recent = starts[index]!.filter((at) => time.now() - at < window);
         if (recent.length < 2 && random.below(100) === 0) {
@@ -154,34 +161,34 @@
       });
     }
     assert.ok(spent.length > 0);
-    assert.ok(most(spent, window) <= tries, `${most(spent, window)} in a window of ${tries}`);
+    assert.ok(maxInWindow(spent, window) <= tries, `${maxInWindow(spent, window)} in a window of ${tries}`);
   });
 
-  it('is nothing while proxies are still being learned of, and beside what was earned', () => {
+  it('grants nothing on its own while the roster fills, and adds to what was earned', () => {
     const time = clock();
     let proxies = 0;
     const budget = Budget.of(() => false, { tries: 10, window: 1000, proxies: () => proxies });
     assert.equal(budget.spend(), false);
     proxies = 1;
     assert.equal(budget.spend(), false);
-    time.pass(1999);
+    time.advance(1999);
     assert.equal(budget.spend(), false);
     proxies = 2;
     budget.tend();
-    time.pass(1999);
+    time.advance(1999);
     assert.equal(budget.spend(), false);
     proxies = 1;
-    time.pass(1);
+    time.advance(1);
     for (let count = 0; count < 5; count += 1) budget.earn();
     assert.deepEqual(
       Array.from({ length: 4 }, () => budget.spend()),
       [true, true, false, false],
     );
-    time.pass(1000);
+    time.advance(1000);
     assert.equal(budget.spend(), true);
   });
 
-  it('gives each of many proxies its turn where an even part rounds down to nothing, and no flood', () => {
+  it('gives each of many proxies its turn where an equal share rounds down to zero, without a burst', () => {
     const time = clock();
     const tries = 200;
     const window = 10_000;
@@ -192,7 +199,7 @@
     const spent: number[] = [];
     const each = budgets.map(() => 0);
     for (let step = 0; step < 600; step += 1) {
-      time.pass(100);
+      time.advance(100);
       known = Math.min(80, known + 4);
       budgets.forEach((budget, index) => {
         while (budget.spend()) {
@@ -202,16 +209,23 @@
       });
     }
     assert.ok(Math.min(...each) >= 4, `${Math.min(...each)} tries of some proxy in a minute`);
-    assert.ok(most(spent, window) <= tries / 2, `${most(spent, window)} in a window of ${tries}`);
-    const crowd = Budget.of(() => false, { tries: 10, window, proxies: () => 80 });
-    crowd.tend();
-    time.pass(window);
-    assert.equal(crowd.spend(), false, 'more proxies than all tries allowed: none by itself');
+    assert.ok(
+      maxInWindow(spent, window) <= tries / 2,
+      `${maxInWindow(spent, window)} in a window of ${tries}`,
+    );
+    const crowded = Budget.of(() => false, { tries: 10, window, proxies: () => 80 });
+    crowded.tend();
+    time.advance(window);
+    assert.equal(
+      crowded.spend(),
+      false,
+      'with more proxies than allowed tries, a proxy gets none on its own',
+    );
   });
 });
 
 describe('placement', () => {
-  const servers = ['s1', 's2', 's3', 's4'].map((instance) => pickOf(instance));
+  const servers = ['s1', 's2', 's3', 's4'].map((instance) => candidateOf(instance));
   const compiled = (among: readonly Candidate[]) =>
     ({
       servers: new Map(among.map(({ server }) => [server.instance, server])),
@@ -225,12 +239,12 @@
       zone: 'a-1',
       inFlight,
       hasIdle: () => true,
-      random: chance(seed),
+      random: seededRandom(seed),
     });
     placement.retain(compiled(servers));
     return { inFlight, placement };
   };
-  const want = (shared: string, own: string): Placement.Request => ({
+  const requestOf = (shared: string, own: string): Placement.Request => ({
     parts: [
       { key: shared, tokens: 3000 },
       { key: own, tokens: 500 },
@@ -242,12 +256,12 @@
     wall: '',
   });
 
-  it('sends the same shared part to the same server from every proxy, and different ones about', () => {
+  it('sends the same shared prefix to the same server from every proxy, and spreads different ones', () => {
     const proxies = [1, 2, 3].map(make);
     const chosen = Array.from({ length: 40 }, (_none, index) => {
       const names = proxies.map(
         ({ placement }, proxy) =>
-          placement.choose(servers, want(`k${index}`, `own${proxy}`))?.server.instance,
+          placement.choose(servers, requestOf(`k${index}`, `own${proxy}`))?.server.instance,
       );
       assert.equal(new Set(names).size, 1, names.join());
       return names[0];
@@ -255,9 +269,9 @@
     assert.equal(new Set(chosen).size, servers.length);
   });
 
-  it('keeps a prompt whose parts nobody holds in its own zone, and sends it off where waiting costs more', () => {
+  it('keeps a prompt without shared prefix in its own zone, unless waiting there costs more', () => {
     const inZone = (instance: string, zone: string) => {
-      const { server, group } = pickOf(instance);
+      const { server, group } = candidateOf(instance);
       return { server: { ...server, zone } as Compiled.Server, group };
     };
     const among = [inZone('s1', 'a-1'), ...['s2', 's3', 's4'].map((name) => inZone(name, 'a-2'))];
@@ -267,27 +281,27 @@
       zone: 'a-1',
       inFlight,
       hasIdle: () => true,
-      random: chance(3),
+      random: seededRandom(3),
     });
-    const unshared = { ...want('k', 'x'), parts: [], bytes: 4096 };
+    const unshared = { ...requestOf('k', 'x'), parts: [], bytes: 4096 };
     for (let count = 0; count < 20; count += 1)
       assert.equal(placement.choose(among, unshared)!.server.instance, 's1');
     for (let count = 0; count < 4; count += 1) inFlight.begin('s1', 4000);
     assert.notEqual(placement.choose(among, unshared)!.server.instance, 's1');
   });
 
-  it('spreads when the holder is busy', () => {
+  it('chooses another server when the holder of the prefix is busy', () => {
     const { inFlight, placement } = make(4);
-    const holder = placement.choose(servers, want('k', 'x'))!.server.instance;
+    const holder = placement.choose(servers, requestOf('k', 'x'))!.server.instance;
     for (let count = 0; count < 8; count += 1) inFlight.begin(holder, 4000);
-    assert.notEqual(placement.choose(servers, want('k', 'y'))!.server.instance, holder);
+    assert.notEqual(placement.choose(servers, requestOf('k', 'y'))!.server.instance, holder);
   });
 
-  it('counts the tokens a server has not read yet by parts, and forgets a server that is gone', () => {
+  it('counts the uncached tokens by prefix, and forgets a server that was removed', () => {
     const { placement } = make(5);
     const [one] = servers;
     const sent = (shared: string, own: string) =>
-      placement.recordSent(one!.server, one!.group, want(shared, own)).uncached;
+      placement.recordSent(one!.server, one!.group, requestOf(shared, own)).uncached;
     assert.deepEqual([sent('k', 'x'), sent('k', 'y'), sent('other', 'z')], [3500, 500, 3500]);
     placement.retain(compiled(servers.slice(1)));
     placement.retain(compiled(servers));
@@ -295,41 +309,44 @@
   });
 });
 
-describe('reading', () => {
-  it('shows the slower server by its events, within bounds, and forgets it', () => {
-    const reading = PrefillSpeed.of();
+describe('prefill speed', () => {
+  it('detects the slower server by its event gaps, within bounds, and forgets a removed one', () => {
+    const prefillSpeed = PrefillSpeed.of();
     const random = Random.of(9);
-    for (const instance of ['fast', 'slow']) reading.slowdownOf(instance, 'g');
+    for (const instance of ['fast', 'slow']) prefillSpeed.slowdownOf(instance, 'g');
     for (let count = 0; count < 3000; count += 1) {
-      reading.recordEventGap('fast', 9 + random.below(3));
-      reading.recordEventGap('slow', 18 + random.below(5));
+      prefillSpeed.recordEventGap('fast', 9 + random.below(3));
+      prefillSpeed.recordEventGap('slow', 18 + random.below(5));
     }
-    const pace = reading.slowdownOf('slow', 'g');
-    assert.ok(pace > 1.7 && pace < 2.3, String(pace));
-    assert.equal(reading.slowdownOf('fast', 'g'), 1);
-    for (let count = 0; count < 3000; count += 1) reading.recordEventGap('slow', 5000);
-    assert.equal(reading.slowdownOf('slow', 'g'), 4);
-    reading.retain((instance) => instance === 'fast');
-    assert.equal(reading.slowdownOf('slow', 'g'), 1);
+    const slowdown = prefillSpeed.slowdownOf('slow', 'g');
+    assert.ok(slowdown > 1.7 && slowdown < 2.3, String(slowdown));
+    assert.equal(prefillSpeed.slowdownOf('fast', 'g'), 1);
+    for (let count = 0; count < 3000; count += 1) prefillSpeed.recordEventGap('slow', 5000);
+    assert.equal(prefillSpeed.slowdownOf('slow', 'g'), 4);
+    prefillSpeed.retain((instance) => instance === 'fast');
+    assert.equal(prefillSpeed.slowdownOf('slow', 'g'), 1);
   });
 
-  it('learns the speed of a group within bounds', () => {
-    const reading = PrefillSpeed.of();
-    for (let count = 0; count < 200; count += 1) reading.recordFirstToken('g', 4000, 100);
-    assert.ok(Math.abs(reading.tokensPerMs('one', 'g') - 40) < 1, String(reading.tokensPerMs('one', 'g')));
-    const before = reading.tokensPerMs('one', 'g');
-    reading.recordFirstToken('g', 100, 1);
-    reading.recordFirstToken('g', 4000, -5);
-    assert.equal(reading.tokensPerMs('one', 'g'), before);
-    for (let count = 0; count < 400; count += 1) reading.recordFirstToken('g', 1_000_000, 0.001);
-    assert.ok(reading.tokensPerMs('one', 'g') <= 2000);
-    for (let count = 0; count < 400; count += 1) reading.recordFirstToken('g', 400, 1_000_000);
-    assert.ok(reading.tokensPerMs('one', 'g') >= 0.5);
+  it('estimates the speed of a group within bounds', () => {
+    const prefillSpeed = PrefillSpeed.of();
+    for (let count = 0; count < 200; count += 1) prefillSpeed.recordFirstToken('g', 4000, 100);
+    assert.ok(
+      Math.abs(prefillSpeed.tokensPerMs('one', 'g') - 40) < 1,
+      String(prefillSpeed.tokensPerMs('one', 'g')),
+    );
+    const before = prefillSpeed.tokensPerMs('one', 'g');
+    prefillSpeed.recordFirstToken('g', 100, 1);
+    prefillSpeed.recordFirstToken('g', 4000, -5);
+    assert.equal(prefillSpeed.tokensPerMs('one', 'g'), before);
+    for (let count = 0; count < 400; count += 1) prefillSpeed.recordFirstToken('g', 1_000_000, 0.001);
+    assert.ok(prefillSpeed.tokensPerMs('one', 'g') <= 2000);
+    for (let count = 0; count < 400; count += 1) prefillSpeed.recordFirstToken('g', 400, 1_000_000);
+    assert.ok(prefillSpeed.tokensPerMs('one', 'g') >= 0.5);
   });
 });
 
 describe('retry-after', () => {
-  it('is read in seconds, fractions among them, and as a date against the answer’s own', () => {
+  it('is parsed as seconds, with fractions, and as a date relative to the Date header', () => {
     const date = 'Wed, 21 Oct 2015 07:28:00 GMT';
     assert.equal(RetryAfter.read({ 'retry-after': '2' }), 2000);
     assert.equal(RetryAfter.read({ 'retry-after': '0.25' }), 250);
@@ -339,8 +356,8 @@
   });
 });
 
-describe('a process that was frozen', () => {
-  it('lets what happened meanwhile be handled before it sends, also when its beat comes first', async () => {
+describe('a process that was suspended', () => {
+  it('handles pending events before it sends, also when its own timer fires first', async () => {
     const stall = Stall.of();
     const settled = new Promise<boolean>((resolve) => {
       setTimeout(async () => {
