--- a/src/proxy/filter.ts
+++ b/src/proxy/filter.ts
@@ -5,12 +5,12 @@
 import type { Compiled } from '../manifest/compiled.js';
 import type { Budget } from '../upstream/budget.js';
 import type { Ejector } from '../upstream/ejector.js';
-import type { Failures } from '../upstream/failures.js';
+import type { FailureScores } from '../upstream/failure-scores.js';
+import type { HealthChecker } from '../upstream/health-checker.js';
 import type { InFlight } from '../upstream/in-flight.js';
 import type { Placement } from '../upstream/placement.js';
 import type { Pool } from '../upstream/pool.js';
-import type { Prover } from '../upstream/prover.js';
-import type { Ramp } from '../upstream/ramp.js';
+import type { SlowStart } from '../upstream/slow-start.js';
 import type { Warmup } from '../upstream/warmup.js';
 import type { Call } from './call.js';
 import type { Dialect } from './dialect.js';
@@ -40,14 +40,14 @@
     readonly pool: Pool;
     readonly inFlight: InFlight;
     readonly ejector: Ejector;
-    readonly failures: Failures;
+    readonly failures: FailureScores;
     readonly budget: Budget;
     readonly quotas: Quotas;
     readonly stall: Stall;
-    readonly ramp: Ramp;
+    readonly ramp: SlowStart;
     readonly placement: Placement;
     readonly warmup: Warmup;
-    readonly prover: Prover;
+    readonly prover: HealthChecker;
     readonly shares: Shares;
     readonly meters: Meters;
     /** Writes a log line. */
--- a/src/proxy/filters/attempt.ts
+++ b/src/proxy/filters/attempt.ts
@@ -6,10 +6,10 @@
 import { Instant } from '../../common/instant.js';
 import type { Compiled } from '../../manifest/compiled.js';
 import { Wall } from '../../manifest/wall.js';
+import type { Candidate } from '../../upstream/candidate.js';
 import type { Connection } from '../../upstream/connection.js';
 import type { Exchange } from '../../upstream/exchange.js';
 import { Outcome } from '../../upstream/outcome.js';
-import type { Pick } from '../../upstream/pick.js';
 import type { Placement } from '../../upstream/placement.js';
 import { Suspicion } from '../../upstream/suspicion.js';
 import { Tries } from '../../upstream/tries.js';
@@ -24,7 +24,7 @@
 export type Attempt = { readonly verdict: Tries };
 
 type SendOptions = {
-  readonly pick: Pick;
+  readonly pick: Candidate;
   readonly step: Compiled.Step;
   readonly left: number;
   readonly hops: number;
@@ -54,7 +54,7 @@
     .map((name) => compiled.groups.get(name))
     .reduce((sum, group) => sum + (group ? group.servers.length * group.concurrent : 0), 0);
 
-const createPlacementRequest = (call: Call): Placement.Want => {
+const createPlacementRequest = (call: Call): Placement.Request => {
   const { wall, requestInfo, body } = call;
   const rule = Call.require(call, 'rule');
   const { total } = Call.require(call, 'timeouts');
@@ -77,7 +77,7 @@
   private readonly regions: readonly Id.Region[];
   private readonly deadline: Instant;
   private readonly compiled: Compiled;
-  private readonly want: Placement.Want;
+  private readonly want: Placement.Request;
 
   constructor(
     private readonly needs: Filter.Dependencies,
@@ -122,24 +122,24 @@
   private readonly mayGo = (group: Compiled.Group): boolean =>
     Wall.mayGo(this.call.wall, group.wall, CacheSalt.hasOpaqueBody(this.call));
 
-  private pickDependencies(): Pick.Needs {
+  private pickDependencies(): Candidate.Needs {
     const { needs } = this;
     return {
       compiled: needs.compiled() ?? this.compiled,
       inFlight: needs.inFlight,
       ejector: needs.ejector,
-      allowance: needs.ramp.allowance,
-      connections: needs.pool.part,
-      isDark: needs.prover.isDark,
-      mayWarm: needs.warmup.allows,
-      mayGo: this.mayGo,
+      concurrencyLimit: needs.ramp.concurrencyLimit,
+      connectionLimit: needs.pool.connectionLimit,
+      isUnreachable: needs.prover.isUnreachable,
+      allowsWarmup: needs.warmup.allows,
+      mayUseGroup: this.mayGo,
       placement: needs.placement,
       random: Math.random,
     };
   }
 
   /** Whether the newest manifest still allows the call on the chosen server, at the same address. */
-  private readonly isStillOpen = ({ server }: Pick): boolean => {
+  private readonly isStillOpen = ({ server }: Candidate): boolean => {
     const compiled = this.needs.compiled();
     const newest = compiled?.servers.get(server.instance);
     const group = newest && compiled?.groups.get(newest.group);
@@ -156,16 +156,16 @@
   };
 
   private async run(
-    pick: Pick,
-    tier: Pick.Tier,
+    pick: Candidate,
+    tier: Candidate.Tier,
     hops: number,
     after: string | undefined,
   ): Promise<UpstreamTry> {
     const { needs, call, rule, want } = this;
     const { instance } = pick.server;
     this.tried.push(instance);
-    const placed = needs.placement.sent(pick.server, pick.group, want);
-    const place = needs.warmup.enter(instance);
+    const placed = needs.placement.recordSent(pick.server, pick.group, want);
+    const place = needs.warmup.reserve(instance);
     let sentAt = Instant.now();
     const trial = await UpstreamTry.run(pick, {
       ...this.trialDependencies(pick),
@@ -173,14 +173,14 @@
       weight: rule.aim === undefined ? (call.body?.length ?? 0) : placed.uncached,
       onSend() {
         sentAt = Instant.now();
-        place.sent();
+        place.confirmSent();
       },
-    }).finally(place.leave);
-    if (trial.kind === 'stream') placed.answered(Instant.since(sentAt));
+    }).finally(place.release);
+    if (trial.kind === 'stream') placed.recordFirstToken(Instant.since(sentAt));
     return trial;
   }
 
-  private trialDependencies(pick: Pick): Omit<UpstreamTry.Needs, 'request' | 'weight' | 'onSend'> {
+  private trialDependencies(pick: Candidate): Omit<UpstreamTry.Needs, 'request' | 'weight' | 'onSend'> {
     const { needs, call, rule } = this;
     const { instance } = pick.server;
     const onLost = (end: () => void) =>
--- a/src/upstream/connection.ts
+++ b/src/upstream/connection.ts
@@ -114,7 +114,7 @@
   } catch {
     body = undefined;
   }
-  Identity.prove({ headers: response.headers, body }, server, group);
+  Identity.verify({ headers: response.headers, body }, server, group);
 };
 
 type State = Connection.State;
--- a/src/upstream/outcome.ts
+++ b/src/upstream/outcome.ts
@@ -3,9 +3,9 @@
  * that checks unreachable servers, and the slow start of new servers.
  */
 import type { Ejector } from './ejector.js';
-import type { Failures } from './failures.js';
-import type { Prover } from './prover.js';
-import type { Ramp } from './ramp.js';
+import type { FailureScores } from './failure-scores.js';
+import type { HealthChecker } from './health-checker.js';
+import type { SlowStart } from './slow-start.js';
 import type { UpstreamTry } from './upstream-try.js';
 
 /** The result of a try, as seen by the health tracking of its server. */
@@ -15,10 +15,10 @@
 export declare namespace Outcome {
   /** The components that outcomes are reported to. */
   type Needs = {
-    readonly failures: Pick<Failures, 'see' | 'good'>;
+    readonly failures: Pick<FailureScores, 'see' | 'good'>;
     readonly ejector: Pick<Ejector, 'good' | 'bad' | 'misdirected'>;
-    readonly prover: Pick<Prover, 'lost' | 'suspect'>;
-    readonly ramp: Pick<Ramp, 'good'>;
+    readonly prover: Pick<HealthChecker, 'lost' | 'suspect'>;
+    readonly ramp: Pick<SlowStart, 'good'>;
   };
 }
 
--- a/src/upstream/tries.ts
+++ b/src/upstream/tries.ts
@@ -11,7 +11,7 @@
 import { Timer } from '../common/timer.js';
 import type { Compiled } from '../manifest/compiled.js';
 import type { Budget } from './budget.js';
-import { Pick } from './pick.js';
+import { Candidate } from './candidate.js';
 import type { Placement } from './placement.js';
 import { RetryAfter } from './retry-after.js';
 import type { UpstreamTry } from './upstream-try.js';
@@ -50,20 +50,20 @@
     readonly regions: readonly Id.Region[];
     /** Affinity key, used where the rule asks for affinity. */
     readonly key: string | undefined;
-    readonly want: Placement.Want;
+    readonly want: Placement.Request;
     /** Servers and tries already used by this request when a broken stream is resumed. */
     readonly previous: { readonly tried: readonly string[]; readonly sent: number };
     readonly deadline: Instant;
     readonly signal: AbortSignal;
     readonly budget: Budget;
-    readonly pickNeeds: () => Pick.Needs;
-    readonly run: (pick: Pick, tier: Pick.Tier, hops: number) => Promise<UpstreamTry>;
+    readonly pickNeeds: () => Candidate.Needs;
+    readonly run: (pick: Candidate, tier: Candidate.Tier, hops: number) => Promise<UpstreamTry>;
     /** Called after each try; `isExtra` is true if the try used a retry token. */
     readonly onTryEnd: (result: UpstreamTry, isExtra: boolean) => void;
   };
   /** What the loop does next; `span` is in milliseconds. */
   type Step =
-    | { readonly kind: 'try'; readonly pick: Pick; readonly tier: Pick.Tier; readonly hops: number }
+    | { readonly kind: 'try'; readonly pick: Candidate; readonly tier: Candidate.Tier; readonly hops: number }
     | { readonly kind: 'pause'; readonly span: number }
     | { readonly kind: 'token'; readonly span: number };
 }
@@ -107,7 +107,7 @@
 
 function* decide(plan: Tries.Plan): Generator<Tries.Step, Tries, UpstreamTry | undefined> {
   const { rule } = plan;
-  const tiers = Pick.tiers(rule, plan.regions);
+  const tiers = Candidate.tiers(rule, plan.regions);
   const tried = new Set<string>(plan.previous.tried);
   let tries = 0;
   let sent = plan.previous.sent;
@@ -118,15 +118,16 @@
   let lastResult: UpstreamTry | undefined;
   let retryAfter = 0;
 
-  const choose = (from: number, isUntried: boolean): { pick: Pick; index: number } | undefined => {
+  const choose = (from: number, isUntried: boolean): { pick: Candidate; index: number } | undefined => {
     const needs = plan.pickNeeds();
     for (let index = from; index < tiers.length; index += 1) {
-      const eligible = Pick.open(tiers[index]!, needs).filter(
-        ({ server }) => needs.ejector.restsFor(server) === 0 && (!isUntried || !tried.has(server.instance)),
+      const eligible = Candidate.eligible(tiers[index]!, needs).filter(
+        ({ server }) =>
+          needs.ejector.backoffLeft(server) === 0 && (!isUntried || !tried.has(server.instance)),
       );
       const candidates = rule.weights ? Weights.draw(eligible, rule.weights, needs.random) : eligible;
       const want = rule.aim === undefined ? undefined : plan.want;
-      const pick = Pick.choose(candidates, rule.isAffine ? plan.key : undefined, needs, want);
+      const pick = Candidate.choose(candidates, rule.isAffine ? plan.key : undefined, needs, want);
       if (pick) return { pick, index };
     }
     return undefined;
@@ -158,7 +159,7 @@
   if (!next) {
     const needs = plan.pickNeeds();
     const restTimes = tiers.flatMap((tier) =>
-      Pick.open(tier, needs).map(({ server }) => needs.ejector.restsFor(server)),
+      Candidate.eligible(tier, needs).map(({ server }) => needs.ejector.backoffLeft(server)),
     );
     retryAfter = restTimes.length > 0 ? Math.min(...restTimes) : 0;
     return finish('no_server');
@@ -194,7 +195,7 @@
       const retryAfterMs = RetryAfter.parse(result.headers);
       if (retryAfterMs !== undefined) {
         retryAfter = Math.max(retryAfter, retryAfterMs);
-        plan.pickNeeds().ejector.rest(result.pick.server, Math.min(retryAfterMs, maxServerRestMs));
+        plan.pickNeeds().ejector.backOff(result.pick.server, Math.min(retryAfterMs, maxServerRestMs));
       }
     }
     if (isOver()) return finish();
@@ -211,8 +212,8 @@
         if (!isHop) retries += 1;
       }
     } else if (canRetry) {
-      const eligible = Pick.open(tiers[tierIndex]!, plan.pickNeeds());
-      const restTimes = eligible.map(({ server }) => plan.pickNeeds().ejector.restsFor(server));
+      const eligible = Candidate.eligible(tiers[tierIndex]!, plan.pickNeeds());
+      const restTimes = eligible.map(({ server }) => plan.pickNeeds().ejector.backoffLeft(server));
       const waitMs = Math.max(
         Math.min(...restTimes, maxServerRestMs),
         backOff(rule.retry, retries, plan.pickNeeds().random),
--- a/src/upstream/upstream-try.ts
+++ b/src/upstream/upstream-try.ts
@@ -7,11 +7,11 @@
 import { Instant } from '../common/instant.js';
 import { Timer } from '../common/timer.js';
 import type { Document } from '../manifest/document.js';
+import type { Candidate } from './candidate.js';
 import type { Connection } from './connection.js';
 import { Correlation } from './correlation.js';
 import type { Exchange } from './exchange.js';
 import type { InFlight } from './in-flight.js';
-import type { Pick } from './pick.js';
 import type { Pool } from './pool.js';
 
 /**
@@ -20,14 +20,14 @@
  * status below 400 whose body is still to be read.
  */
 export type UpstreamTry =
-  | { readonly kind: 'unsent'; readonly why: UpstreamTry.Reason; readonly pick: Pick }
-  | { readonly kind: 'lost'; readonly why: UpstreamTry.Reason; readonly pick: Pick }
+  | { readonly kind: 'unsent'; readonly why: UpstreamTry.Reason; readonly pick: Candidate }
+  | { readonly kind: 'lost'; readonly why: UpstreamTry.Reason; readonly pick: Candidate }
   | {
       readonly kind: 'response';
       readonly status: number;
       readonly headers: IncomingHttpHeaders;
       readonly body: Buffer;
-      readonly pick: Pick;
+      readonly pick: Candidate;
     }
   | {
       readonly kind: 'stream';
@@ -36,7 +36,7 @@
       readonly body: Exchange.Body;
       readonly connection: Connection;
       readonly job: InFlight.Job;
-      readonly pick: Pick;
+      readonly pick: Candidate;
     };
 
 /** Types of a try. */
@@ -63,7 +63,7 @@
     readonly deadline: Instant;
     readonly signal: AbortSignal;
     /** Checked immediately before sending: whether the server may still receive this request. */
-    readonly isStillEligible: (pick: Pick) => boolean;
+    readonly isStillEligible: (pick: Candidate) => boolean;
     /**
      * Resolves once events that queued up while the event loop was stalled, such as a disconnect, have been handled.
      */
@@ -108,7 +108,7 @@
 
 /** Runs one try. */
 export const UpstreamTry = {
-  async run(pick: Pick, needs: UpstreamTry.Needs): Promise<UpstreamTry> {
+  async run(pick: Candidate, needs: UpstreamTry.Needs): Promise<UpstreamTry> {
     const { timeouts, deadline, inFlight } = needs;
     const controller = new AbortController();
     const end = (why: UpstreamTry.Reason) =>
