--- a/src/control/commands/put-manifest.ts
+++ b/src/control/commands/put-manifest.ts
@@ -47,7 +47,7 @@
 
 /** The answer to an order that was taken before, whatever has come since. */
 const knownAnswer = (orders: Orders, put: PutManifest.Named, digest: string): Responses | undefined => {
-  const known = Orders.answered(orders, keyOf(put), digest);
+  const known = Orders.findAnswer(orders, keyOf(put), digest);
   if (!known) return undefined;
   if (known.isSame) return taken(known.revision);
   return put.key === undefined
--- a/src/control/commands/put-numbered.ts
+++ b/src/control/commands/put-numbered.ts
@@ -40,7 +40,7 @@
           return Responses.unconfirmed('unconfirmed', 'the cores formed anew and ask the nodes', 'no');
         const newest = State.newest(state)?.document;
         const current = newest?.source?.number ?? 0;
-        const known = Orders.numbered(state, number, digest);
+        const known = Orders.numberStatus(state, number, digest);
         const isTaken = known === 'taken';
         if (isTaken) return taken;
         const isRefused = base !== current || number <= current;
--- a/src/control/folder.ts
+++ b/src/control/folder.ts
@@ -28,7 +28,7 @@
 const open = async (folder: string, alert: Alert, seal: Seal | undefined): Promise<Folder> => {
   const register = await Register.open(await File.open(folder, 'register.log'));
   const store = await Store.open(folder, seal, alert);
-  register.raise(store.state().stamp.epoch);
+  register.raiseFloor(store.state().stamp.epoch);
   return { register, store };
 };
 
--- a/src/control/life/following.ts
+++ b/src/control/life/following.ts
@@ -39,7 +39,7 @@
  */
 const claim = async (life: Life, from: Term, leading: Leading): Promise<void> => {
   const { register, store, proposer } = life.needs;
-  register.raise(Epoch.after(from.epoch));
+  register.raiseFloor(Epoch.after(from.epoch));
   await store.idle();
   const { isDone, term, ballot } = await proposer.change((base) =>
     Term.isSame(base, from) && Term.isInSync(base, register.disk)
@@ -56,9 +56,9 @@
     let missedSince: Moment | undefined;
     let mendedAt = Moment.past;
     const mend = () => {
-      if (store.isSound() || Moment.since(mendedAt) <= mendEvery) return;
+      if (store.isHealthy() || Moment.since(mendedAt) <= mendEvery) return;
       mendedAt = Moment.now();
-      void store.mend().catch((error) => note('own disk failure', { why: Failure.text(error) }));
+      void store.recover().catch((error) => note('own disk failure', { why: Failure.text(error) }));
     };
     const isNext = (term: Term): boolean => {
       missedSince = isPrimaryLost(life, term) ? (missedSince ?? Moment.now()) : undefined;
@@ -71,7 +71,7 @@
       async step() {
         mend();
         const term = life.known.term();
-        if (!term || !Term.isInSync(term, register.disk) || !store.isSound() || life.isLeaving) return;
+        if (!term || !Term.isInSync(term, register.disk) || !store.isHealthy() || life.isLeaving) return;
         if (term.primary !== register.disk) {
           if (!isNext(term)) return;
           note('taking over', { from: Term.core(term, term.primary)?.node });
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -140,7 +140,7 @@
       couriers: peers.couriers,
       core: self,
       highest,
-      isAble: () => store.isSound() && core?.isLeaving() !== true,
+      isAble: () => store.isHealthy() && core?.isLeaving() !== true,
       held: () => store.state().stamp,
     });
     const transfers = TransferMeter.of();
--- a/src/epoch/acceptor.ts
+++ b/src/epoch/acceptor.ts
@@ -36,5 +36,6 @@
     return { ...kept, promised: ballot, accepted: ballot, term, floor };
   },
   /** The floor raised to an epoch; it never falls. */
-  raise: (kept: Acceptor, epoch: Epoch): Acceptor => (epoch > kept.floor ? { ...kept, floor: epoch } : kept),
+  raiseFloor: (kept: Acceptor, epoch: Epoch): Acceptor =>
+    epoch > kept.floor ? { ...kept, floor: epoch } : kept,
 };
--- a/src/epoch/register.ts
+++ b/src/epoch/register.ts
@@ -27,7 +27,7 @@
   readonly prepare: (ballot: Ballot, isForming?: boolean) => Promise<boolean>;
   readonly accept: (ballot: Ballot, term: Term, isChosen?: boolean) => Promise<boolean>;
   readonly floor: () => Epoch;
-  readonly raise: (epoch: Epoch) => void;
+  readonly raiseFloor: (epoch: Epoch) => void;
   readonly watch: (see: (term: Term) => void) => () => void;
 };
 
@@ -42,7 +42,7 @@
     readonly floor?: Epoch;
   };
   const kept: Acceptor = { ...others, term: tenure, floor: others.floor ?? Epoch.none };
-  return Acceptor.raise(kept, kept.term?.epoch ?? Epoch.none);
+  return Acceptor.raiseFloor(kept, kept.term?.epoch ?? Epoch.none);
 };
 
 const blank = (): Acceptor => ({
@@ -63,7 +63,7 @@
       const bytes = pack(next);
       if (file.length() > longest || file.isBroken()) await file.rewrite([bytes]);
       else await file.append(bytes);
-      kept = Acceptor.raise(next, kept.floor);
+      kept = Acceptor.raiseFloor(next, kept.floor);
     };
     if (!last) await keep(kept);
     return {
@@ -73,8 +73,8 @@
       accepted: () => kept.accepted,
       term: () => kept.term,
       floor: () => kept.floor,
-      raise(epoch) {
-        kept = Acceptor.raise(kept, epoch);
+      raiseFloor(epoch) {
+        kept = Acceptor.raiseFloor(kept, epoch);
       },
       watch(see) {
         watchers.add(see);
--- a/src/replica/acknowledgement.ts
+++ b/src/replica/acknowledgement.ts
@@ -48,7 +48,7 @@
       async write(change) {
         const before = store.state();
         const next = State.apply(before, change);
-        const local = bounded(store.take(change, before.stamp), diskWithin, 'own disk').catch(handOver);
+        const local = bounded(store.apply(change, before.stamp), diskWithin, 'own disk').catch(handOver);
         log.add(change);
         await Promise.all([local, replication.replicate(next)]);
         acknowledge(store.state());
--- a/src/replica/backup.ts
+++ b/src/replica/backup.ts
@@ -43,7 +43,7 @@
       if (isBelow(epoch)) return below;
       if (register.isBlank()) return 'this core is blank';
       if (isLeading()) return 'this core leads';
-      register.raise(epoch);
+      register.raiseFloor(epoch);
       return undefined;
     },
     /** Why something synced meanwhile may not be confirmed any more. */
@@ -62,7 +62,7 @@
     async write(change: State.Change, previous?: Stamp): Promise<string | undefined> {
       writes += 1;
       try {
-        await store.take(change, previous);
+        await store.apply(change, previous);
         return undefined;
       } catch (error) {
         return Failure.text(error);
--- a/src/replica/maintenance.ts
+++ b/src/replica/maintenance.ts
@@ -37,7 +37,7 @@
     return {
       async run(turns, isOpen) {
         if (!leadership.isLeading()) return;
-        if (!store.isSound())
+        if (!store.isHealthy())
           await turns.take(() => handOver(new Error('the store is broken'))).catch(() => {});
         if (!isOpen || !isLacking() || !others().some(isUpSpare)) return;
         await turns.take(async () => {
--- a/src/store/file.ts
+++ b/src/store/file.ts
@@ -28,7 +28,7 @@
   readonly replace: (make: () => Promise<readonly Uint8Array[]>) => Promise<void>;
   readonly length: () => number;
   /** Whether no write failed, and none has been under way for long. */
-  readonly isSound: () => boolean;
+  readonly isHealthy: () => boolean;
   /** Whether a write has failed since the last whole rewrite. */
   readonly isBroken: () => boolean;
   readonly close: () => Promise<void>;
@@ -102,7 +102,7 @@
     return this.#length;
   };
 
-  readonly isSound = (): boolean => {
+  readonly isHealthy = (): boolean => {
     const isStalled = this.#busySince !== undefined && Moment.since(this.#busySince) >= stalledAfter;
     return this.#phase.is('sound') && !isStalled;
   };
--- a/src/store/orders.ts
+++ b/src/store/orders.ts
@@ -34,7 +34,7 @@
 const numberedKey = /^number (\d+)$/;
 
 /** 96 bits of a text's digest, enough to tell orders apart. */
-const short = (text: string): string =>
+const shortDigest = (text: string): string =>
   createHash('sha256').update(text).digest('base64url').slice(0, digestLength);
 
 const isSame = (one: Orders.Numbered, number: number, digest: string): boolean =>
@@ -64,11 +64,11 @@
 
 /** Keeps an order that came under a number. */
 const withNumber = (orders: Orders, number: number, digest: string): Orders =>
-  keepNumber(orders, { number, digest: short(digest) });
+  keepNumber(orders, { number, digest: shortDigest(digest) });
 
 /** Keeps an order that came under a key. */
 const withAnswer = (orders: Orders, { key, digest, revision }: Orders.Answer): Orders =>
-  keepAnswer(orders, { key: short(key), digest: short(digest), revision });
+  keepAnswer(orders, { key: shortDigest(key), digest: shortDigest(digest), revision });
 
 /** Says that orders up to the newest manifest may have been taken without a record here. */
 const withGaps = (orders: Orders, newest: Orders.Newest | undefined): Orders => {
@@ -100,22 +100,22 @@
  * Whether an order under a number was taken. A number that is known with another content was taken with that:
  * the order lost its race.
  */
-const numbered = (orders: Orders, number: number, digest: string): Orders.Numbering => {
-  const shortened = short(digest);
+const numberStatus = (orders: Orders, number: number, digest: string): Orders.Numbering => {
+  const shortened = shortDigest(digest);
   if (orders.numbers.some((one) => isSame(one, number, shortened))) return 'taken';
   const isOther = orders.numbers.some((one) => one.number === number);
   return isOther || number > orders.horizon.number ? 'new' : 'missing';
 };
 
 /** The revision of the order taken under a key, and whether its digest is the one asked for. */
-const answered = (
+const findAnswer = (
   orders: Orders,
   key: string,
   digest: string,
 ): { readonly revision: Revision; readonly isSame: boolean } | undefined => {
-  const shortened = short(key);
+  const shortened = shortDigest(key);
   const found = orders.answers.findLast((one) => one.key === shortened);
-  return found && { revision: found.revision, isSame: found.digest === short(digest) };
+  return found && { revision: found.revision, isSame: found.digest === shortDigest(digest) };
 };
 
 /**
@@ -126,12 +126,12 @@
 
 export const Orders = {
   empty,
-  short,
+  shortDigest: shortDigest,
   withNumber,
   withAnswer,
   withGaps,
   upgrade,
-  numbered,
-  answered,
+  numberStatus: numberStatus,
+  findAnswer: findAnswer,
   mayBeMissing,
 };
--- a/src/store/store.ts
+++ b/src/store/store.ts
@@ -19,13 +19,13 @@
 export type Store = {
   readonly state: () => State;
   /** Whether the disk may be counted on: no write failed, and none has been under way for long. */
-  readonly isSound: () => boolean;
+  readonly isHealthy: () => boolean;
   /** Applies a change and resolves once it is synced; throws where another state than `previous` is held. */
-  readonly take: (change: State.Change, previous?: Stamp) => Promise<void>;
+  readonly apply: (change: State.Change, previous?: Stamp) => Promise<void>;
   /** Resolves when what was asked for before is done. */
   readonly idle: () => Promise<void>;
   /** Writes the whole state anew where a write has failed. */
-  readonly mend: () => Promise<void>;
+  readonly recover: () => Promise<void>;
   /** Whether a snapshot is being written beside the changes. */
   readonly isCompacting: () => boolean;
   /** Resolves when no snapshot is being written. */
@@ -91,21 +91,21 @@
     return this.#state;
   };
 
-  readonly isSound = (): boolean => {
-    return this.#file.isSound();
+  readonly isHealthy = (): boolean => {
+    return this.#file.isHealthy();
   };
 
   readonly idle = (): Promise<void> => {
     return this.#turns.take(async () => {});
   };
 
-  readonly mend = (): Promise<void> => {
+  readonly recover = (): Promise<void> => {
     return this.#turns.take(async () => {
       if (this.#file.isBroken()) await this.#rewrite(wholeOf(this.#state));
     });
   };
 
-  readonly take = (change: State.Change, previous?: Stamp): Promise<void> => {
+  readonly apply = (change: State.Change, previous?: Stamp): Promise<void> => {
     return this.#turns.take(async () => {
       this.#check(change, previous);
       const next = State.apply(this.#state, change);
--- a/test/backup.test.ts
+++ b/test/backup.test.ts
@@ -62,9 +62,9 @@
     const opened = await Store.open(data);
     store = {
       ...opened,
-      async take(change, previous) {
+      async apply(change, previous) {
         await beforeWrite();
-        return opened.take(change, previous);
+        return opened.apply(change, previous);
       },
       async close() {
         await Promise.all([opened.close(), file.close()]);
@@ -135,7 +135,7 @@
     const snapshot = snapshotAt(9);
     await offer(snapshot);
     await piece(snapshot, 0);
-    register.raise(Epoch.of(4));
+    register.raiseFloor(Epoch.of(4));
     for (const late of [
       await piece(snapshot, pieceLength),
       await offer(snapshotAt(12)),
@@ -150,10 +150,10 @@
   });
 
   it('confirms nothing whose write was under way when a higher epoch was promised', async () => {
-    beforeWrite = async () => register.raise(Epoch.of(4));
+    beforeWrite = async () => register.raiseFloor(Epoch.of(4));
     const snapshot = await sendAll(snapshotAt(9));
     assert.deepEqual([snapshot?.isTaken, snapshot?.floor], [false, Epoch.of(4)]);
-    beforeWrite = async () => register.raise(Epoch.of(5));
+    beforeWrite = async () => register.raiseFloor(Epoch.of(5));
     const appended = await append(10, Epoch.of(4));
     assert.deepEqual([appended.isTaken, appended.floor], [false, Epoch.of(5)]);
   });
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -69,7 +69,7 @@
     couriers,
     core: () => self,
     highest: () => Epoch.none,
-    isAble: store.isSound,
+    isAble: store.isHealthy,
     held: () => store.state().stamp,
   });
   let isRetired = false;
@@ -226,7 +226,7 @@
     await one.core.leading()!.commit((_state, stamp) => ({ kind: 'opened', stamp }));
     lost.add('0>2');
     lost.add('1>2');
-    two.register.raise(Epoch.of(9));
+    two.register.raiseFloor(Epoch.of(9));
     let isTaken = false;
     void one.core
       .leading()!
--- a/test/model-follows.test.ts
+++ b/test/model-follows.test.ts
@@ -36,7 +36,7 @@
     rewrite: async (all) => void kept.push(Buffer.from(all.at(-1)!)),
     replace: async (make) => void kept.push(Buffer.from((await make()).at(-1)!)),
     length: () => 0,
-    isSound: () => true,
+    isHealthy: () => true,
     isBroken: () => false,
     close: async () => {},
     last: () => kept.at(-1)!,
@@ -93,7 +93,7 @@
           assert.equal(await register.accept(asked, value.value, isChosen), after !== undefined, text);
           machine = after ?? machine;
         } else if (kind === 'raise') {
-          register.raise(Epoch.of(value.epoch));
+          register.raiseFloor(Epoch.of(value.epoch));
           machine = { ...machine, floor: Acceptor.raised(machine, value.epoch, none) };
         } else {
           file = memory([file.last()]);
@@ -124,7 +124,7 @@
       let state = stateOf(machine.held);
       const store = {
         state: () => state,
-        take: async (change: State.Change) => {
+        apply: async (change: State.Change) => {
           state = State.apply(state, change);
         },
       } as unknown as Store;
--- a/test/orders.test.ts
+++ b/test/orders.test.ts
@@ -244,7 +244,7 @@
     const cores = new Cores();
     const orders = await takeNumbers(cores, 300);
     const store = await Store.open(join(folder, 'whole'));
-    await store.take({ kind: 'whole', stamp: cores.state.stamp, state: cores.state });
+    await store.apply({ kind: 'whole', stamp: cores.state.stamp, state: cores.state });
     await store.close();
     const again = await Store.open(join(folder, 'whole'));
     cores.state = again.state();
--- a/test/register.test.ts
+++ b/test/register.test.ts
@@ -167,7 +167,7 @@
       cores: [core],
     };
     assert.equal(await register.accept({ round: 1, disk: core.disk }, term, true), true);
-    register.raise(Epoch.of(7));
+    register.raiseFloor(Epoch.of(7));
     assert.equal(await register.prepare({ round: 2, disk: core.disk }), true);
     await file.close();
     assert.equal((await openRegister(data)).floor(), 7);
--- a/test/replica-kit.ts
+++ b/test/replica-kit.ts
@@ -145,13 +145,13 @@
   const turns = Turns.of();
   return {
     state: () => disk.state,
-    isSound: () => true,
+    isHealthy: () => true,
     isCompacting: () => false,
     compacted: async () => {},
     idle: () => turns.take(async () => {}),
-    mend: async () => {},
+    recover: async () => {},
     close: () => file.close(),
-    take: (change, previous) =>
+    apply: (change, previous) =>
       turns.take(async () => {
         await beforeWrite();
         if (previous && !Stamp.isSame(previous, disk.state.stamp)) throw new Error('another state is held');
@@ -207,7 +207,7 @@
         })),
       core: self,
       highest: () => Epoch.none,
-      isAble: store.isSound,
+      isAble: store.isHealthy,
       held: () => store.state().stamp,
     });
     return { register, store, backup, proposer };
--- a/test/store-snapshots.test.ts
+++ b/test/store-snapshots.test.ts
@@ -50,7 +50,7 @@
 const next = (store: Store): number => store.state().stamp.revision + 1;
 
 const take = async (store: Store, count: number): Promise<void> => {
-  for (let index = 0; index < count; index += 1) await store.take(manifestOf(next(store)));
+  for (let index = 0; index < count; index += 1) await store.apply(manifestOf(next(store)));
 };
 
 const recordsOf = (folder: string) => Records.decode(readFileSync(join(folder, 'state.log'))).payloads;
@@ -84,7 +84,7 @@
     const trial = await Store.open(makeFolder(), seal);
     let count = 0;
     for (let isBegun = false; !isBegun; count += 1) {
-      await trial.take(manifestOf(next(trial)));
+      await trial.apply(manifestOf(next(trial)));
       isBegun = trial.isCompacting();
     }
     await trial.close();
@@ -116,10 +116,10 @@
     const state = earlier.state();
     await earlier.close();
     const store = await Store.open(folder);
-    await store.take({ kind: 'whole', stamp: state.stamp, state });
+    await store.apply({ kind: 'whole', stamp: state.stamp, state });
     const told = { by: 'operator', at: 'then', what: 'evacuated' };
     const evacuate = (zones: readonly string[]) =>
-      store.take({
+      store.apply({
         kind: 'evacuations',
         stamp: Stamp.of(store.state().stamp.epoch, next(store)),
         zones: zones as Ident.Zone[],
@@ -131,10 +131,10 @@
       manifest: { ...Stamp.of(1, 40), document: documentOf(40, { evacuations: ['z-1'] }) },
     };
     await evacuate(['z-1']);
-    await store.take({ kind: 'settled', stamp: Stamp.of(2, 41), formed: Stamp.of(2, 0).epoch, view });
+    await store.apply({ kind: 'settled', stamp: Stamp.of(2, 41), formed: Stamp.of(2, 0).epoch, view });
     const putLater = (more: object) => {
       const change = manifestOf(next(store), more) as Extract<State.Change, { kind: 'manifest' }>;
-      return store.take({ ...change, stamp: Stamp.of(2, next(store)) });
+      return store.apply({ ...change, stamp: Stamp.of(2, next(store)) });
     };
     await putLater({ evacuations: ['z-1'] });
     await evacuate([]);
@@ -206,7 +206,7 @@
     });
     await take(store, 12);
     assert.equal(store.isCompacting(), true);
-    assert.equal(store.isSound(), true);
+    assert.equal(store.isHealthy(), true);
     release();
     await store.compacted();
     assert.equal(isHeld, true);
@@ -229,7 +229,7 @@
     assert.equal(failures, 1);
     assert.equal(existsSync(join(folder, replacement)), false);
     await take(store, 5);
-    assert.deepEqual([failures, store.isSound()], [1, true]);
+    assert.deepEqual([failures, store.isHealthy()], [1, true]);
     assertSame(await reopenedCopy(folder), store.state());
     disk.restore();
     while (!store.isCompacting()) await take(store, 1);
@@ -247,9 +247,9 @@
     });
     await take(store, 1);
     await store.compacted();
-    assert.equal(store.isSound(), false);
-    await store.mend();
-    assert.equal(store.isSound(), true);
+    assert.equal(store.isHealthy(), false);
+    await store.recover();
+    assert.equal(store.isHealthy(), true);
     await take(store, 3);
     await store.close();
     assertSame(await reopened(folder), store.state());
@@ -263,7 +263,7 @@
     await take(store, 1);
     assert.equal(store.isCompacting(), true);
     const stamp = Stamp.of(9, 999);
-    await store.take({ kind: 'whole', stamp, state: { ...other.state(), stamp } });
+    await store.apply({ kind: 'whole', stamp, state: { ...other.state(), stamp } });
     await store.compacted();
     await other.close();
     await store.close();
@@ -277,7 +277,7 @@
     const store = await Store.open(folder, seal);
     const secret = '5ec2e7'.repeat(10);
     const walls = { generation: 1, secret };
-    while (!store.isCompacting()) await store.take(manifestOf(next(store), { walls, note: 'readable' }));
+    while (!store.isCompacting()) await store.apply(manifestOf(next(store), { walls, note: 'readable' }));
     await store.compacted();
     await store.close();
     const bytes = readFileSync(join(folder, 'state.log'));
--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -112,13 +112,13 @@
       const document = { zones: {}, groups: {}, homes: {}, teams: {}, rules: [], note, source };
       const answer = { key: `number ${revision}`, digest: source.digest };
       const stamp = Stamp.of(1, revision);
-      return store.take({ kind: 'manifest', stamp, document, by: '', at: '', what: '', teams: [], answer });
+      return store.apply({ kind: 'manifest', stamp, document, by: '', at: '', what: '', teams: [], answer });
     };
     for (let revision = 1; revision <= 5; revision += 1) await put(revision, 'short');
     const numbers = () => store.state().manifests.map((one) => one.document.source?.number);
     assert.deepEqual(numbers(), [undefined, undefined, undefined, 4, 5]);
     const zones = ['z-1'] as Ident.Zone[];
-    await store.take({ kind: 'evacuations', stamp: Stamp.of(1, 6), zones, by: '', at: '', what: '' });
+    await store.apply({ kind: 'evacuations', stamp: Stamp.of(1, 6), zones, by: '', at: '', what: '' });
     assert.deepEqual(numbers(), [undefined, undefined, undefined, undefined, 5, 5]);
     assert.deepEqual(State.newest(store.state())?.document.evacuations, zones);
     for (let revision = 7; revision <= 11; revision += 1) await put(revision, 'x'.repeat(900_000));
@@ -136,7 +136,7 @@
     const folder = makeFolder();
     const first = await Folder.open(folder, () => {});
     for (let revision = 1; revision <= 3; revision += 1)
-      await first.store.take({ kind: 'opened', stamp: Stamp.of(1, revision) });
+      await first.store.apply({ kind: 'opened', stamp: Stamp.of(1, revision) });
     await first.store.close();
     const again = await Folder.open(folder, () => {});
     assert.equal(again.register.disk, first.register.disk);
@@ -172,13 +172,13 @@
         note: `secret ${secret}`,
       };
       const stamp = Stamp.of(1, revision);
-      return store.take({ kind: 'manifest', stamp, document, by: '', at: '', what: '', teams: [] });
+      return store.apply({ kind: 'manifest', stamp, document, by: '', at: '', what: '', teams: [] });
     };
     await put(1);
     await withFailingSyncs(() => assert.rejects(put(2)));
-    assert.equal(store.isSound(), false);
-    await store.mend();
-    assert.equal(store.isSound(), true);
+    assert.equal(store.isHealthy(), false);
+    await store.recover();
+    assert.equal(store.isHealthy(), true);
     const isPlain = (name: string) => readFileSync(join(folder, name)).includes(secret);
     assert.deepEqual(readdirSync(folder).filter(isPlain), []);
     await put(2);
@@ -196,7 +196,7 @@
     const plain = await Store.open(folder);
     const document = { zones: {}, groups: {}, homes: {}, teams: {}, rules: [], note: mark };
     const stamp = Stamp.of(1, 1);
-    await plain.take({ kind: 'manifest', stamp, document, by: '', at: '', what: '', teams: [] });
+    await plain.apply({ kind: 'manifest', stamp, document, by: '', at: '', what: '', teams: [] });
     await plain.close();
     const isPlain = () => readFileSync(join(folder, 'state.log')).includes(mark);
     assert.equal(isPlain(), true);
--- a/tools/bench/state.ts
+++ b/tools/bench/state.ts
@@ -84,7 +84,7 @@
   const before = store.state();
   State.apply(before, change);
   Store.encode(change);
-  await store.take(change, before.stamp);
+  await store.apply(change, before.stamp);
 };
 
 const fill = async (folder: string, routes: number, changes: number) => {
--- a/tools/model/acceptor.ts
+++ b/tools/model/acceptor.ts
@@ -34,7 +34,7 @@
 });
 
 const raised = (machine: Machine, epoch: number, plants: ReadonlySet<Plant>): number =>
-  plants.has('floor-not-raised') ? 0 : Rules.raise(keptOf(machine), Epoch.of(epoch)).floor;
+  plants.has('floor-not-raised') ? 0 : Rules.raiseFloor(keptOf(machine), Epoch.of(epoch)).floor;
 
 const withPlants = (machine: Machine, plants: ReadonlySet<Plant>): Machine =>
   plants.has('floor-not-raised') ? { ...machine, floor: 0, keptFloor: 0 } : machine;
--- a/tools/simulation/operators.ts
+++ b/tools/simulation/operators.ts
@@ -204,7 +204,7 @@
       const body = kind === 'numbered' ? { base, document } : document;
       const order: Order = {
         id,
-        keptAs: kind === 'numbered' ? `number ${number} ${Orders.short(id)}` : id,
+        keptAs: kind === 'numbered' ? `number ${number} ${Orders.shortDigest(id)}` : id,
         by,
         base,
         number,
--- a/tools/simulation/plant-list.ts
+++ b/tools/simulation/plant-list.ts
@@ -46,12 +46,12 @@
     plant(
       'a floor that is not raised',
       'epoch/acceptor.ts',
-      ['(epoch > kept.floor ? { ...kept, floor: epoch } : kept)', '(void epoch, kept)'],
+      ['epoch > kept.floor ? { ...kept, floor: epoch } : kept', '(void epoch, kept)'],
       ['Epoch.of(Math.max(term.epoch, kept.floor))', 'Epoch.of(0 * Math.max(term.epoch, kept.floor))'],
     ),
     plant('a backup that answers before its sync', 'replica/backup.ts', [
-      'await store.take(change, previous);',
-      'void store.take(change, previous).catch(() => {});',
+      'await store.apply(change, previous);',
+      'void store.apply(change, previous).catch(() => {});',
     ]),
     plant(
       'late whole states are taken',
@@ -97,7 +97,7 @@
       'a core that is not in sync takes over',
       'control/life/following.ts',
       [
-        'if (!term || !Term.isInSync(term, register.disk) || !store.isSound() || life.isLeaving) return;',
+        'if (!term || !Term.isInSync(term, register.disk) || !store.isHealthy() || life.isLeaving) return;',
         'if (!term || life.isLeaving) return;',
       ],
       ['Term.isSame(base, from) && Term.isInSync(base, register.disk)', 'Term.isSame(base, from)'],
--- a/tools/simulation/program.ts
+++ b/tools/simulation/program.ts
@@ -71,8 +71,8 @@
       revision: state.stamp.revision,
       knows: (id, number) =>
         notes.has(id) ||
-        Orders.numbered(state, number, id) === 'taken' ||
-        Orders.answered(state, id, '') !== undefined,
+        Orders.numberStatus(state, number, id) === 'taken' ||
+        Orders.findAnswer(state, id, '') !== undefined,
     };
   },
 };
