--- a/src/epoch/exchange.ts
+++ b/src/epoch/exchange.ts
@@ -1,6 +1,8 @@
-// The questions of the register, each put to this core and to all others at once: what they hold, whether
-// they promise a ballot, whether they accept a term. The votes that come back also tell which rounds were
-// used, so that the next ballot goes above them all.
+/**
+ * The requests of the register: `peek` reads votes, `prepare` asks for a promise, `accept` asks to accept a term.
+ * Each request goes to this core and to all others at the same time. The votes that come back also carry the
+ * rounds in use, so that the next ballot is above all of them.
+ */
 import type { Epoch } from '../kinds/epoch.js';
 import type { Stamp } from '../kinds/stamp.js';
 import { Timer } from '../kinds/timer.js';
@@ -11,25 +13,27 @@
 import { Term } from './term.js';
 import { Vote } from './vote.js';
 
+/** Sends register requests to all cores and collects their votes. */
 export type Exchange = {
   /** This core's own vote. */
   readonly vote: (isGranted: boolean) => Vote;
   readonly peek: () => Promise<readonly Vote[]>;
   readonly prepare: (ballot: Ballot, isForming: boolean) => Promise<readonly Vote[]>;
-  /** Asks all to accept a term: one that is chosen, or else one that follows on another, `before`. */
+  /** Asks all cores to accept a term: the successor of the term `before`, or without it a term already chosen. */
   readonly accept: (ballot: Ballot, term: Term, before?: Term) => Promise<readonly Vote[]>;
   /**
-   * Whether a term that follows on `before` is chosen by the votes: a majority of the cores before and after
-   * accepted it, and so did this core if it is one of them. Were its own disk not to hold what it acts on, it
-   * could forget it at its next start and confirm changes of the primary that it took the place of.
+   * Whether the votes choose a term that follows `before`: a majority of the cores of both terms accepted it, and
+   * so did this core if the term lists it. A proposer that acted on a term missing from its own disk could forget
+   * it in a restart, and then confirm changes of the primary that it had replaced.
    */
   readonly isChosen: (votes: readonly Vote[], before: Term, term: Term) => boolean;
-  /** A ballot above all that were seen. */
+  /** A ballot above every round seen so far. */
   readonly nextBallot: () => Ballot;
   readonly highestRound: () => number;
 };
 
 export declare namespace Exchange {
+  /** What an exchange uses of its core. */
   type Needs = {
     readonly register: Register;
     readonly couriers: () => readonly Courier[];
@@ -40,48 +44,52 @@
   };
 }
 
-/** How long an answer may take. */
-const answerWithin = 1000;
+/** How long a core may take to answer. */
+const answerTimeoutMs = 1000;
 
-type Ask = {
+type Broadcast = {
   readonly couriers: readonly Courier[];
   readonly request: Parameters<Courier['ask']>[0];
-  /** Whether this core grants it. */
-  readonly own: Promise<boolean>;
+  /** Whether this core grants the request. */
+  readonly ownGrant: Promise<boolean>;
   readonly vote: (isGranted: boolean) => Vote;
-  readonly see: (vote: Vote) => void;
-  /** Whether the votes that came suffice; without it all answers are waited for, as long as they may take. */
+  readonly onVote: (vote: Vote) => void;
+  /** Ends the wait once the votes received suffice; without it, every core is waited for up to the timeout. */
   readonly isEnough?: ((votes: readonly Vote[]) => boolean) | undefined;
 };
 
-const orNot = (work: Promise<boolean>): Promise<boolean> =>
+/** The result of some work, or false if it fails or does not end in time. */
+const falseOnTimeout = (work: Promise<boolean>): Promise<boolean> =>
   new Promise((resolve) => {
-    const timer = Timer.after(answerWithin, () => resolve(false));
+    const timer = Timer.after(answerTimeoutMs, () => resolve(false));
     work.then(resolve, () => resolve(false)).finally(() => timer.stop());
   });
 
-const askAll = async (ask: Ask): Promise<readonly Vote[]> => {
+const collectVotes = async (broadcast: Broadcast): Promise<readonly Vote[]> => {
   const votes: Vote[] = [];
   await new Promise<void>((resolve) => {
-    const take = (told: Vote | Frame.Reply) => {
-      if (!('isGranted' in told)) return;
-      votes.push(told);
-      ask.see(told);
-      if (ask.isEnough?.(votes)) resolve();
+    const receive = (reply: Vote | Frame.Reply) => {
+      if (!('isGranted' in reply)) return;
+      votes.push(reply);
+      broadcast.onVote(reply);
+      if (broadcast.isEnough?.(votes)) resolve();
     };
-    const own = orNot(ask.own).then(ask.vote).then(take);
-    const others = ask.couriers.map((courier) => courier.ask(ask.request, answerWithin).then(take));
+    const own = falseOnTimeout(broadcast.ownGrant).then(broadcast.vote).then(receive);
+    const others = broadcast.couriers.map((courier) =>
+      courier.ask(broadcast.request, answerTimeoutMs).then(receive),
+    );
     void Promise.allSettled([own, ...others]).then(() => resolve());
   });
   return Vote.distinct(votes);
 };
 
+/** Creates exchanges. */
 export const Exchange = {
-  answerWithin,
+  answerTimeoutMs,
   of(needs: Exchange.Needs): Exchange {
     const { register } = needs;
     let highestRound = 0;
-    const see = (vote: Vote) => {
+    const onVote = (vote: Vote) => {
       highestRound = Math.max(highestRound, vote.promised?.round ?? 0);
     };
     const vote = (isGranted: boolean): Vote => ({
@@ -95,8 +103,11 @@
       isAble: needs.isAble(),
       held: needs.held(),
     });
-    const ask = (request: Ask['request'], own: Promise<boolean>, isEnough?: Ask['isEnough']) =>
-      askAll({ couriers: needs.couriers(), request, own, vote, see, isEnough });
+    const ask = (
+      request: Broadcast['request'],
+      ownGrant: Promise<boolean>,
+      isEnough?: Broadcast['isEnough'],
+    ) => collectVotes({ couriers: needs.couriers(), request, ownGrant, vote, onVote, isEnough });
     const isQuorum = (votes: readonly Vote[]): boolean => {
       if (!votes.some((one) => one.core.disk === register.disk)) return false;
       const base = Vote.newest(Vote.granted(votes))?.term;
@@ -104,8 +115,8 @@
     };
     const isChosen = (votes: readonly Vote[], before: Term, term: Term): boolean => {
       const grants = Vote.granted(votes);
-      const isOwn = grants.some((one) => one.core.disk === register.disk);
-      if (Term.has(term, register.disk) && !isOwn) return false;
+      const isOwnGranted = grants.some((one) => one.core.disk === register.disk);
+      if (Term.has(term, register.disk) && !isOwnGranted) return false;
       return Vote.isMajority(grants, before) && Vote.isMajority(grants, term);
     };
     return {
@@ -121,10 +132,10 @@
         ),
       isChosen,
       accept(ballot, term, before) {
-        const isKnown = before === undefined;
+        const isKnownChosen = before === undefined;
         return ask(
-          { kind: 'accept', ballot, term, isChosen: isKnown },
-          register.accept(ballot, term, isKnown),
+          { kind: 'accept', ballot, term, isChosen: isKnownChosen },
+          register.accept(ballot, term, isKnownChosen),
           before && ((votes) => isChosen(votes, before, term)),
         );
       },
--- a/src/epoch/proposer.ts
+++ b/src/epoch/proposer.ts
@@ -1,27 +1,36 @@
-// Changing and reading the register. A change takes two phases: a majority of the cores promises a
-// ballot and tells what it has accepted, then the changed term is accepted by a majority of the cores
-// before and after it. The proposer's own vote is always waited for, so that what its own disk holds is
-// found. A change that turns out not to be wanted writes the term it found back, since a term that
-// only some had accepted may not be relied on: it is chosen once a majority has accepted it under one ballot.
-//
-// What was accepted goes by the forming first and by the ballot second. A core of before a forming may have
-// used any number of rounds since; whoever asks a core that knows the later forming finds that one, and
-// writes back nothing else.
+/**
+ * The proposer of the register: reads and changes the term in two phases, as in Paxos. First a majority of the cores
+ * promises a ballot and reports what it has accepted; then the changed term is accepted by a majority of the cores
+ * of the term before and of the term after. The proposer always waits for its own vote, so that it finds what
+ * its own disk holds. If the change turns out not to be wanted, the proposer writes the term it found back:
+ * a term that only some cores accepted must not be relied on, and it is chosen once a majority has accepted it
+ * under one ballot.
+ *
+ * Accepted terms are ordered by their forming first and by their ballot second. A core from before a forming may have
+ * used any number of rounds since. A proposer that asks a core which knows the later forming finds the term of that
+ * forming and writes back no other.
+ */
 
 import { Ballot } from './ballot.js';
 import { Exchange } from './exchange.js';
 import { Term } from './term.js';
 import { Vote } from './vote.js';
 
+/** Reads and changes the register on behalf of one core. */
 export type Proposer = {
   readonly votes: () => Promise<readonly Vote[]>;
+  /** The chosen term, if a majority reports the same one. */
   readonly read: () => Promise<Term | undefined>;
+  /** Whether no term after the given one had been chosen when this was called. */
   readonly confirm: (term: Term) => Promise<boolean>;
+  /** Changes the term to what `next` makes of the one found; without a result the term found is written back. */
   readonly change: (next: (term: Term) => Term | undefined) => Promise<Proposer.Outcome>;
+  /** Writes the first term of a new forming, made from at least so many granted votes. */
   readonly form: (
-    make: (votes: readonly Vote[]) => Term | undefined,
-    atLeast: number,
+    makeTerm: (votes: readonly Vote[]) => Term | undefined,
+    minimumGrants: number,
   ) => Promise<Term | undefined>;
+  /** Sends a chosen term to all cores. */
   readonly install: (chosen: Term, ballot: Ballot) => Promise<void>;
   readonly vote: (isGranted: boolean) => Vote;
 };
@@ -36,42 +45,43 @@
 /** The chosen term: the newest accepted one, if a majority has accepted it under the very same ballot. */
 const read = async (exchange: Exchange): Promise<Term | undefined> => {
   const votes = Vote.remembering(await exchange.peek());
-  const top = Vote.newest(votes);
-  if (!top?.term || !top.accepted) return undefined;
-  const { accepted } = top;
+  const newest = Vote.newest(votes);
+  if (!newest?.term || !newest.accepted) return undefined;
+  const { accepted } = newest;
   const agreeing = votes.filter(
     (one) => one.accepted !== null && Ballot.compare(one.accepted, accepted) === 0,
   );
-  return Vote.isMajority(agreeing, top.term) ? top.term : undefined;
+  return Vote.isMajority(agreeing, newest.term) ? newest.term : undefined;
 };
 
 /**
- * Whether a majority of a term's cores still holds that very term, asked after the call. The term is known
- * to be chosen, and every later one is accepted by a majority of its cores; a core that holds it under any
- * ballot had accepted no later one when it answered. So nothing later was chosen when the call was made.
- * Votes are counted by the whole term: two terms of one epoch can be accepted at once in different places, by
- * different ballots, of which one is chosen. A vote that names a later forming ends the count.
+ * Whether a majority of a term's cores still holds that very term, asked after the call. The term is known to be
+ * chosen, and every later one has to be accepted by a majority of its cores. A core that holds the term under any
+ * ballot had accepted no later one when it answered, so no later one was chosen when the call was made. Votes
+ * count only for the identical term: two terms of one epoch can be accepted at the same time on different cores under
+ * different ballots, and only one of them is chosen. A vote that names a later forming ends the count.
  */
 const confirm = (needs: Proposer.Needs, exchange: Exchange, term: Term): Promise<boolean> =>
   new Promise((resolve) => {
     const agreeing = new Set<string>();
-    const count = ({ core, term: told }: Vote) => {
-      if (!told) return;
-      if (told.formed > term.formed) resolve(false);
-      if (Term.has(term, core.disk) && Term.isSame(told, term)) agreeing.add(core.disk);
+    const countVote = ({ core, term: voted }: Vote) => {
+      if (!voted) return;
+      if (voted.formed > term.formed) resolve(false);
+      if (Term.has(term, core.disk) && Term.isSame(voted, term)) agreeing.add(core.disk);
       if (agreeing.size >= Term.majority(term)) resolve(true);
     };
-    const asked = needs.couriers().map(async (courier) => {
-      const reply = await courier.ask({ kind: 'peek' }, Exchange.answerWithin);
-      if (reply.kind === 'vote') count(reply);
+    const requests = needs.couriers().map(async (courier) => {
+      const reply = await courier.ask({ kind: 'peek' }, Exchange.answerTimeoutMs);
+      if (reply.kind === 'vote') countVote(reply);
     });
-    count(exchange.vote(true));
-    void Promise.allSettled(asked).then(() => resolve(false));
+    countVote(exchange.vote(true));
+    void Promise.allSettled(requests).then(() => resolve(false));
   });
 
-type Promised = { readonly ballot: Ballot; readonly base: Term | undefined };
+type Prepared = { readonly ballot: Ballot; readonly base: Term | undefined };
 
-const promise = async (exchange: Exchange): Promise<Promised> => {
+/** The first phase: a new ballot, and the newest accepted term if a majority of its cores promised the ballot. */
+const prepare = async (exchange: Exchange): Promise<Prepared> => {
   const ballot = exchange.nextBallot();
   const grants = Vote.granted(await exchange.prepare(ballot, false));
   const base = Vote.newest(grants)?.term;
@@ -82,8 +92,9 @@
   exchange: Exchange,
   next: (term: Term) => Term | undefined,
 ): Promise<Proposer.Outcome> => {
-  let { ballot, base } = await promise(exchange);
-  if (!base && exchange.highestRound() >= ballot.round) ({ ballot, base } = await promise(exchange));
+  let { ballot, base } = await prepare(exchange);
+  // A refusal that names a higher round allows one more attempt above it.
+  if (!base && exchange.highestRound() >= ballot.round) ({ ballot, base } = await prepare(exchange));
   if (!base) return { isDone: false, term: undefined, ballot };
   const wanted = next(base);
   const value = wanted ?? base;
@@ -93,21 +104,22 @@
 
 const form = async (
   exchange: Exchange,
-  make: (votes: readonly Vote[]) => Term | undefined,
-  atLeast: number,
+  makeTerm: (votes: readonly Vote[]) => Term | undefined,
+  minimumGrants: number,
 ): Promise<Term | undefined> => {
   await exchange.peek();
   const ballot = exchange.nextBallot();
   const grants = Vote.granted(await exchange.prepare(ballot, true));
-  if (grants.length < atLeast) return undefined;
-  const wanted = make(grants);
+  if (grants.length < minimumGrants) return undefined;
+  const wanted = makeTerm(grants);
   if (!wanted) return undefined;
   const accepts = Vote.granted(await exchange.accept(ballot, wanted));
-  const asked = wanted.cores.filter((core) => grants.some((one) => one.core.disk === core.disk));
-  const isWhole = asked.every((core) => accepts.some((one) => one.core.disk === core.disk));
-  return isWhole ? wanted : undefined;
+  const required = wanted.cores.filter((core) => grants.some((one) => one.core.disk === core.disk));
+  const isAcceptedByAll = required.every((core) => accepts.some((one) => one.core.disk === core.disk));
+  return isAcceptedByAll ? wanted : undefined;
 };
 
+/** Creates proposers. */
 export const Proposer = {
   of(needs: Proposer.Needs): Proposer {
     const exchange = Exchange.of(needs);
@@ -117,7 +129,7 @@
       read: () => read(exchange),
       confirm: (term) => confirm(needs, exchange, term),
       change: (next) => change(exchange, next),
-      form: (make, atLeast) => form(exchange, make, atLeast),
+      form: (makeTerm, minimumGrants) => form(exchange, makeTerm, minimumGrants),
       async install(chosen, ballot) {
         await exchange.accept(ballot, chosen);
       },
--- a/tools/simulation/plant-list.ts
+++ b/tools/simulation/plant-list.ts
@@ -40,14 +40,14 @@
     plant(
       'an empty disk that votes',
       'epoch/acceptor.ts',
-      ['if (kept.term === null && !isForming) return undefined;', ''],
-      ['if (kept.term === null && !isChosen) return undefined;', ''],
+      ['if (state.term === null && !isForming) return undefined;', ''],
+      ['if (state.term === null && !isChosen) return undefined;', ''],
     ),
     plant(
       'a floor that is not raised',
       'epoch/acceptor.ts',
-      ['epoch > kept.floor ? { ...kept, floor: epoch } : kept', '(void epoch, kept)'],
-      ['Epoch.of(Math.max(term.epoch, kept.floor))', 'Epoch.of(0 * Math.max(term.epoch, kept.floor))'],
+      ['epoch > state.floor ? { ...state, floor: epoch } : state', '(void epoch, state)'],
+      ['Epoch.of(Math.max(term.epoch, state.floor))', 'Epoch.of(0 * Math.max(term.epoch, state.floor))'],
     ),
     plant('a backup that answers before its sync', 'replica/backup.ts', [
       'await store.apply(change, previous);',
