--- a/src/store/codec.ts
+++ b/src/store/encoded-change.ts
@@ -7,7 +7,7 @@
 import type { State } from './state.js';
 
 /** A change as bytes, and what reading it costs, in characters. */
-export type Codec = { readonly payload: Buffer; readonly cost: number };
+export type EncodedChange = { readonly payload: Buffer; readonly cost: number };
 
 const packedFrom = 64 * 1024;
 const packed = 0;
@@ -15,11 +15,11 @@
 const costOfRecord = 1024;
 const documentName = ',"document":';
 
-const known = new WeakMap<State.Change, Codec>();
+const known = new WeakMap<State.Change, EncodedChange>();
 /** The bytes of the change that brought a document. */
-const origins = new WeakMap<Document, Codec>();
+const origins = new WeakMap<Document, EncodedChange>();
 
-const learn = (change: State.Change, codec: Codec): void => {
+const learn = (change: State.Change, codec: EncodedChange): void => {
   known.set(change, codec);
   if (change.kind === 'manifest') origins.set(change.document, codec);
 };
@@ -54,7 +54,7 @@
   return change;
 };
 
-const encoded = (change: State.Change): Codec => {
+const encoded = (change: State.Change): EncodedChange => {
   const found = known.get(change);
   if (found) return found;
   const text = write(change);
@@ -63,10 +63,10 @@
   return made;
 };
 
-export const Codec = {
+export const EncodedChange = {
   pack,
   /** The bytes of the change that brought a document, where they are still known. */
-  originOf: (document: Document): Codec | undefined => origins.get(document),
+  originOf: (document: Document): EncodedChange | undefined => origins.get(document),
   /** Notes that a document differs from another one in its evacuations alone. */
   follow(document: Document, from: Document): void {
     const origin = origins.get(from);
--- a/src/store/manifests.ts
+++ b/src/store/manifests.ts
@@ -3,8 +3,8 @@
 // the bytes in which it came, and read when somebody asks. Lists are never changed, only replaced.
 import { Failure } from '../kinds/failure.js';
 import type { Document } from '../manifest/document.js';
-import { Codec } from './codec.js';
 import { DocumentText } from './document-text.js';
+import { EncodedChange } from './encoded-change.js';
 import type { State } from './state.js';
 
 /** Kept manifests, the newest last. */
@@ -19,7 +19,7 @@
   /** A manifest whose document lies in the bytes of a change. */
   type Packed = Difference & {
     readonly manifest: Omit<State.Manifest, 'document'>;
-    readonly origin: Codec;
+    readonly origin: EncodedChange;
   };
 }
 
@@ -47,10 +47,10 @@
 
 /** The document in a packed manifest, read anew. */
 const read = ({ origin, ...difference }: Manifests.Packed): Document => {
-  const change = Codec.decode(origin.payload);
+  const change = EncodedChange.decode(origin.payload);
   if (change.kind !== 'manifest') throw Failure.of('store', 'damaged snapshot: a part holds no manifest');
   const document = restore(change.document, difference);
-  Codec.follow(document, change.document);
+  EncodedChange.follow(document, change.document);
   return document;
 };
 
@@ -72,8 +72,9 @@
 const pack = ({ document, ...manifest }: State.Manifest): Manifests.Packed => {
   const { epoch, revision, by, at } = manifest;
   const stamp = { epoch, revision };
-  const make = () => Codec.encoded({ kind: 'manifest', stamp, document, by, at, what: '', teams: [] });
-  return { manifest, origin: Codec.originOf(document) ?? make(), ...differenceOf(document) };
+  const make = () =>
+    EncodedChange.encoded({ kind: 'manifest', stamp, document, by, at, what: '', teams: [] });
+  return { manifest, origin: EncodedChange.originOf(document) ?? make(), ...differenceOf(document) };
 };
 
 /** An older manifest: without its source, and as bytes where they are at hand. */
@@ -81,7 +82,7 @@
   if (packedOnes.has(manifest)) return manifest;
   const { document, ...rest } = manifest;
   const length = manifest.length ?? DocumentText.measure(document);
-  const origin = Codec.originOf(document);
+  const origin = EncodedChange.originOf(document);
   if (origin)
     return hold({ manifest: { ...rest, length }, origin, ...differenceOf(document), hasSource: false });
   const { source: _source, ...withoutSource } = document;
--- a/src/store/replay.ts
+++ b/src/store/replay.ts
@@ -1,7 +1,7 @@
 // Rebuilds a state from the records of its file, one after the other: the parts and the head of a snapshot, and the
 // changes after it. Files of earlier versions begin with a whole state, or with nothing.
 import { Failure } from '../kinds/failure.js';
-import { Codec } from './codec.js';
+import { EncodedChange } from './encoded-change.js';
 import { Snapshot } from './snapshot.js';
 import { State } from './state.js';
 
@@ -18,8 +18,8 @@
       this.#parts.push(Snapshot.readPart(payload));
       return;
     }
-    const change = Codec.decode(payload);
-    const { cost } = Codec.encoded(change);
+    const change = EncodedChange.decode(payload);
+    const { cost } = EncodedChange.encoded(change);
     const record = change as State.Change | Snapshot.Head;
     if (Snapshot.isHead(record)) this.#begin(record, cost);
     else this.#apply(record, cost);
--- a/src/store/snapshot.ts
+++ b/src/store/snapshot.ts
@@ -3,7 +3,7 @@
 // state, which names for each manifest the record that holds its document.
 import { Failure } from '../kinds/failure.js';
 import type { Stamp } from '../kinds/stamp.js';
-import { Codec } from './codec.js';
+import { EncodedChange } from './encoded-change.js';
 import { Manifests } from './manifests.js';
 import type { State } from './state.js';
 
@@ -36,7 +36,7 @@
 
 /** The parts of a state's manifests, each once: one part may hold the document of several. */
 const cut = async (manifests: Manifests, pause: () => Promise<void>) => {
-  const parts: Codec[] = [];
+  const parts: EncodedChange[] = [];
   const entries: Snapshot.Entry[] = [];
   for (const kept of manifests) {
     const { origin, ...entry } = Manifests.pack(kept);
@@ -55,7 +55,7 @@
   /** The state that a head tells, with the documents of the parts before it, and what reading them all costs. */
   readHead(head: Snapshot.Head, parts: readonly Buffer[]): State {
     if (parts.length !== head.costs.length) throw Failure.of('store', 'damaged snapshot: a part is missing');
-    const origins = parts.map((payload, index): Codec => ({ payload, cost: head.costs[index]! }));
+    const origins = parts.map((payload, index): EncodedChange => ({ payload, cost: head.costs[index]! }));
     const packed = head.manifests.map(({ part, ...entry }) => ({ ...entry, origin: origins[part]! }));
     return { ...head.state, manifests: Manifests.unpack(packed) };
   },
@@ -73,6 +73,6 @@
     };
     const text = JSON.stringify(head);
     const marked = parts.map(({ payload }) => Buffer.concat([Buffer.of(partMark), payload]));
-    return { payloads: [...marked, Codec.pack(text)], cost: sum(costs) + text.length };
+    return { payloads: [...marked, EncodedChange.pack(text)], cost: sum(costs) + text.length };
   },
 };
--- a/src/store/state.ts
+++ b/src/store/state.ts
@@ -7,8 +7,8 @@
 import { Stamp } from '../kinds/stamp.js';
 import type { Document } from '../manifest/document.js';
 import type { View } from '../manifest/view.js';
-import { Codec } from './codec.js';
 import { DocumentText } from './document-text.js';
+import { EncodedChange } from './encoded-change.js';
 import { Manifests } from './manifests.js';
 import { Orders } from './orders.js';
 
@@ -144,7 +144,7 @@
   const newest = state.manifests.at(-1);
   if (!newest) return state;
   const document = { ...newest.document, evacuations: zones };
-  Codec.follow(document, newest.document);
+  EncodedChange.follow(document, newest.document);
   const evacuated = withManifest(state, { ...newest, ...stamp, document, by, at });
   return withAudit(evacuated, { revision: stamp.revision, by, at, what });
 };
--- a/src/store/store.ts
+++ b/src/store/store.ts
@@ -8,7 +8,7 @@
 import { Stamp } from '../kinds/stamp.js';
 import { Timer } from '../kinds/timer.js';
 import { Turns } from '../kinds/turns.js';
-import { Codec } from './codec.js';
+import { EncodedChange } from './encoded-change.js';
 import { File } from './file.js';
 import { Replay } from './replay.js';
 import type { Seal } from './seal.js';
@@ -157,13 +157,13 @@
   }
 
   async #append(change: State.Change): Promise<void> {
-    const { payload, cost } = Codec.encoded(change);
+    const { payload, cost } = EncodedChange.encoded(change);
     await this.#file.append(sealFor(payload, this.#seal));
     this.#tailCost += cost;
   }
 
   async #rewrite(whole: State.Change): Promise<void> {
-    const { payload, cost } = Codec.encoded(whole);
+    const { payload, cost } = EncodedChange.encoded(whole);
     await this.#file.rewrite([sealFor(payload, this.#seal)]);
     this.#snapshotCost = cost;
     this.#tailCost = 0;
@@ -193,9 +193,9 @@
 
 export const Store = {
   /** The bytes of a change, as on the disk and on the way to a backup. */
-  encode: (change: State.Change): Buffer => Codec.encoded(change).payload,
+  encode: (change: State.Change): Buffer => EncodedChange.encoded(change).payload,
   /** The change that bytes of `encode` hold, of this or an earlier version. */
-  decode: Codec.decode,
+  decode: EncodedChange.decode,
   /** Reads the state that a folder holds; under a seal its file holds nothing in plain. */
   async open(folder: string, seal?: Seal, note: Store.Note = () => {}): Promise<Store> {
     const file = await File.open(folder, name);
