--- a/src/store/file.ts
+++ b/src/store/file.ts
@@ -1,10 +1,15 @@
-// One append-only file under the data folder. An append is done when it is synced; a whole rewrite
-// goes to a new file that is synced, renamed over the old one and made lasting by syncing the folder.
-// After a failed write nothing more is appended, for what is on the disk is unknown: only a whole rewrite
-// makes the file sound again. A file whose write has been under way for a second is not sound until it is done.
-// Replacing what the file begins with goes on beside the appends: the new file is written and synced first, then
-// gets what was appended meanwhile, and only then takes the old one's place. Until that moment a failure costs
-// nothing but the new file.
+/**
+ * An append-only file of checksummed records in the data folder. An append is complete once it is synced. A rewrite of
+ * the whole file goes to a new file, which is synced and renamed over the old one; then the folder is synced, so that
+ * the rename is durable.
+ *
+ * After a failed write the content of the disk is unknown, so nothing more is appended until a rewrite of the whole
+ * file succeeds. A file whose write has taken more than a second is unhealthy until that write ends.
+ *
+ * Replacing the beginning of the file runs concurrently with appends: the new file is written and synced first, then
+ * receives the records that were appended in the meantime, and only then takes the place of the old one. A failure
+ * before that point costs nothing but the new file.
+ */
 import { type FileHandle, mkdir, open, readFile, rename, rm } from 'node:fs/promises';
 import { join } from 'node:path';
 import { Failure } from '../kinds/failure.js';
@@ -15,28 +20,30 @@
 
 /** An append-only file of checksummed records. */
 export type File = {
-  /** The payloads that were there when it was opened. */
+  /** The payloads that the file held when it was opened. */
   readonly payloads: readonly Buffer[];
   /** Resolves once the payload is synced. */
   readonly append: (payload: Uint8Array) => Promise<void>;
-  /** Puts payloads in the place of the whole file; this also mends a broken one. */
+  /** Replaces the whole content; this also makes a broken file usable again. */
   readonly rewrite: (payloads: readonly Uint8Array[]) => Promise<void>;
   /**
-   * Puts payloads in the place of all that was appended before this call; what is appended after it stays. Nothing
-   * is replaced when the work fails, or when the file is rewritten or broken before it is done.
+   * Replaces everything that was appended before this call; what is appended after it is kept. Nothing is replaced if
+   * the work fails, or if the file is rewritten or breaks before it is done.
    */
   readonly replace: (make: () => Promise<readonly Uint8Array[]>) => Promise<void>;
+  /** The length in bytes. */
   readonly length: () => number;
-  /** Whether no write failed, and none has been under way for long. */
+  /** Whether no write has failed and none has stalled. */
   readonly isHealthy: () => boolean;
-  /** Whether a write has failed since the last whole rewrite. */
+  /** Whether a write has failed since the last rewrite of the whole file. */
   readonly isBroken: () => boolean;
   readonly close: () => Promise<void>;
 };
 
-const stalledAfter = 1000;
+/** A write that takes longer counts as stalled. */
+const stallThresholdMs = 1000;
 
-/** New files beside the old one, until they take its name. */
+/** Suffixes of new files until they are renamed over the old one. */
 const suffixes = { rewritten: '.new', replacement: '.replacement' } as const;
 
 const syncFolder = async (folder: string): Promise<void> => {
@@ -56,15 +63,15 @@
   }
 };
 
-const openFolder = async (folder: string): Promise<void> => {
+const createFolder = async (folder: string): Promise<void> => {
   await mkdir(folder, { recursive: true });
   await syncFolder(folder);
 };
 
-const concat = (payloads: readonly Uint8Array[]): Buffer =>
+const encodeAll = (payloads: readonly Uint8Array[]): Buffer =>
   Buffer.concat(payloads.map((payload) => Records.encode(payload)));
 
-const writeNew = async (path: string, bytes: Buffer): Promise<FileHandle> => {
+const writeNewFile = async (path: string, bytes: Buffer): Promise<FileHandle> => {
   const handle = await open(path, 'w+');
   try {
     await writeAll(handle, bytes, 0);
@@ -76,26 +83,30 @@
   }
 };
 
-/** The file by its name in a folder; one write runs at a time. */
+/** A file in a folder; its writes run one at a time. */
 class LogFile implements File {
   readonly payloads: readonly Buffer[];
   readonly #folder: string;
   readonly #name: string;
   readonly #turns = Turns.of();
-  readonly #phase = Phase.of('sound', { sound: ['broken', 'shut'], broken: ['sound', 'shut'], shut: [] });
+  readonly #phase = Phase.of('healthy', {
+    healthy: ['broken', 'closed'],
+    broken: ['healthy', 'closed'],
+    closed: [],
+  });
   #handle: FileHandle;
   #length: number;
-  #busySince: Moment | undefined;
-  /** What was appended since a replacement began. */
-  #meanwhile: Buffer[] | undefined;
+  #writingSince: Moment | undefined;
+  /** The records appended since the replacement under way began. */
+  #appendedSinceReplace: Buffer[] | undefined;
   #replacement: Promise<void> = Promise.resolve();
 
-  constructor(folder: string, name: string, handle: FileHandle, found: Records) {
+  constructor(folder: string, name: string, handle: FileHandle, records: Records) {
     this.#folder = folder;
     this.#name = name;
     this.#handle = handle;
-    this.#length = found.length;
-    this.payloads = found.payloads;
+    this.#length = records.length;
+    this.payloads = records.payloads;
   }
 
   readonly length = (): number => {
@@ -103,8 +114,9 @@
   };
 
   readonly isHealthy = (): boolean => {
-    const isStalled = this.#busySince !== undefined && Moment.since(this.#busySince) >= stalledAfter;
-    return this.#phase.is('sound') && !isStalled;
+    const isStalled =
+      this.#writingSince !== undefined && Moment.since(this.#writingSince) >= stallThresholdMs;
+    return this.#phase.is('healthy') && !isStalled;
   };
 
   readonly isBroken = (): boolean => {
@@ -112,39 +124,40 @@
   };
 
   readonly append = (payload: Uint8Array): Promise<void> => {
-    return this.#guarded(async () => {
+    return this.#runWrite(async () => {
       const record = Records.encode(payload);
       await writeAll(this.#handle, record, this.#length);
       await this.#handle.datasync();
       this.#length += record.length;
-      this.#meanwhile?.push(record);
+      this.#appendedSinceReplace?.push(record);
     });
   };
 
   readonly rewrite = (payloads: readonly Uint8Array[]): Promise<void> => {
     const write = async () => {
-      this.#meanwhile = undefined;
+      this.#appendedSinceReplace = undefined;
       const path = this.#pathOf(suffixes.rewritten);
-      const whole = concat(payloads);
-      const next = await writeNew(path, whole);
-      await this.#takeOver(next, path, whole.length);
+      const whole = encodeAll(payloads);
+      const next = await writeNewFile(path, whole);
+      await this.#swapIn(next, path, whole.length);
     };
-    return this.#guarded(write, true);
+    return this.#runWrite(write, true);
   };
 
   readonly replace = (make: () => Promise<readonly Uint8Array[]>): Promise<void> => {
-    if (this.#meanwhile) return Promise.reject(Failure.of('store', `${this.#name} is being replaced`));
-    const meanwhile: Buffer[] = [];
-    this.#meanwhile = meanwhile;
-    const work = this.#replaceBeside(make, meanwhile);
+    if (this.#appendedSinceReplace)
+      return Promise.reject(Failure.of('store', `${this.#name} is already being replaced`));
+    const appended: Buffer[] = [];
+    this.#appendedSinceReplace = appended;
+    const work = this.#replaceConcurrently(make, appended);
     this.#replacement = work.catch(() => undefined);
     return work;
   };
 
   readonly close = async (): Promise<void> => {
     await this.#turns.take(async () => {
-      if (this.#phase.is('shut')) return;
-      this.#phase.become('shut');
+      if (this.#phase.is('closed')) return;
+      this.#phase.become('closed');
       await this.#handle.close();
     });
     await this.#replacement;
@@ -154,26 +167,26 @@
     return join(this.#folder, `${this.#name}${suffix}`);
   }
 
-  /** Runs one write at a time; after a failure only a whole rewrite may run. */
-  #guarded(work: () => Promise<void>, isWhole = false): Promise<void> {
+  /** Runs one write at a time; after a failure only a rewrite of the whole file may run. */
+  #runWrite(work: () => Promise<void>, isRewrite = false): Promise<void> {
     return this.#turns.take(async () => {
-      if (!this.#phase.is('sound') && !(isWhole && this.#phase.is('broken')))
+      if (!this.#phase.is('healthy') && !(isRewrite && this.#phase.is('broken')))
         throw Failure.of('store', `${this.#name} is ${this.#phase.state}`);
-      this.#busySince = Moment.now();
+      this.#writingSince = Moment.now();
       try {
         await work();
-        if (this.#phase.is('broken')) this.#phase.become('sound');
+        if (this.#phase.is('broken')) this.#phase.become('healthy');
       } catch (cause) {
-        if (this.#phase.is('sound')) this.#phase.become('broken');
+        if (this.#phase.is('healthy')) this.#phase.become('broken');
         throw Failure.of('store', `cannot write ${this.#name}`, {}, cause);
       } finally {
-        this.#busySince = undefined;
+        this.#writingSince = undefined;
       }
     });
   }
 
-  /** Gives a synced new file the name; whether it has it after a failure is not known. */
-  async #takeOver(next: FileHandle, path: string, length: number): Promise<void> {
+  /** Renames a synced new file over the old one. After a failure it is unknown which of them has the name. */
+  async #swapIn(next: FileHandle, path: string, length: number): Promise<void> {
     try {
       await rename(path, this.#pathOf());
       await syncFolder(this.#folder);
@@ -187,67 +200,68 @@
     await old.close().catch(() => undefined);
   }
 
-  async #replaceBeside(make: () => Promise<readonly Uint8Array[]>, meanwhile: Buffer[]): Promise<void> {
+  async #replaceConcurrently(make: () => Promise<readonly Uint8Array[]>, appended: Buffer[]): Promise<void> {
     const path = this.#pathOf(suffixes.replacement);
-    let isTaken = false;
+    let isReplaced = false;
     let next: FileHandle | undefined;
     try {
-      const whole = concat(await make());
-      next = await writeNew(path, whole);
+      const whole = encodeAll(await make());
+      next = await writeNewFile(path, whole);
       const synced = next;
-      await this.#turns.take(() => this.#finishReplacing(synced, whole.length, meanwhile));
-      isTaken = true;
+      await this.#turns.take(() => this.#finishReplacing(synced, whole.length, appended));
+      isReplaced = true;
     } catch (cause) {
       throw Failure.of('store', `cannot replace the beginning of ${this.#name}`, {}, cause);
     } finally {
-      if (this.#meanwhile === meanwhile) this.#meanwhile = undefined;
-      if (!isTaken) await next?.close().catch(() => undefined);
-      if (!isTaken) await rm(path, { force: true }).catch(() => undefined);
+      if (this.#appendedSinceReplace === appended) this.#appendedSinceReplace = undefined;
+      if (!isReplaced) await next?.close().catch(() => undefined);
+      if (!isReplaced) await rm(path, { force: true }).catch(() => undefined);
     }
   }
 
-  /** Adds what was appended meanwhile and takes the old file's place. No append runs beside it. */
-  async #finishReplacing(next: FileHandle, length: number, meanwhile: readonly Buffer[]): Promise<void> {
-    if (this.#meanwhile !== meanwhile || !this.#phase.is('sound'))
-      throw Failure.of('store', `${this.#name} was rewritten meanwhile, or is ${this.#phase.state}`);
-    this.#busySince = Moment.now();
+  /** Copies the records appended in the meantime and swaps the new file in; no append runs at the same time. */
+  async #finishReplacing(next: FileHandle, length: number, appended: readonly Buffer[]): Promise<void> {
+    if (this.#appendedSinceReplace !== appended || !this.#phase.is('healthy'))
+      throw Failure.of('store', `${this.#name} was rewritten in the meantime, or is ${this.#phase.state}`);
+    this.#writingSince = Moment.now();
     try {
-      const tail = Buffer.concat(meanwhile);
+      const tail = Buffer.concat(appended);
       if (tail.length > 0) {
         await writeAll(next, tail, length);
         await next.sync();
       }
-      await this.#takeOver(next, this.#pathOf(suffixes.replacement), length + tail.length).catch((cause) => {
+      await this.#swapIn(next, this.#pathOf(suffixes.replacement), length + tail.length).catch((cause) => {
         this.#phase.become('broken');
         throw cause;
       });
     } finally {
-      this.#busySince = undefined;
+      this.#writingSince = undefined;
     }
   }
 }
 
-/** The bytes of a file, or none where there is no file yet. */
-const readWhole = (path: string, name: string): Promise<Buffer> =>
+/** The bytes of a file, or none if it does not exist yet. */
+const readAll = (path: string, name: string): Promise<Buffer> =>
   readFile(path).catch((cause: NodeJS.ErrnoException) => {
     if (cause.code === 'ENOENT') return Buffer.alloc(0);
     throw Failure.of('store', `cannot read ${name}`, {}, cause);
   });
 
+/** Opens files. */
 export const File = {
-  /** Opens or makes a file, cuts a torn end off, and throws where records before it are damaged. */
+  /** Opens or creates a file and cuts off a torn record at its end; throws if an earlier record is damaged. */
   async open(folder: string, name: string): Promise<File> {
-    await openFolder(folder);
+    await createFolder(folder);
     const path = join(folder, name);
     for (const suffix of Object.values(suffixes)) await rm(`${path}${suffix}`, { force: true });
-    const bytes = await readWhole(path, name);
-    const found = Records.decode(bytes);
+    const bytes = await readAll(path, name);
+    const records = Records.decode(bytes);
     const created = await open(path, 'a+');
     await created.close();
     const handle = await open(path, 'r+');
-    if (found.length < bytes.length) await handle.truncate(found.length);
+    if (records.length < bytes.length) await handle.truncate(records.length);
     await handle.sync();
     await syncFolder(folder);
-    return new LogFile(folder, name, handle, found);
+    return new LogFile(folder, name, handle, records);
   },
 };
--- a/src/store/orders.ts
+++ b/src/store/orders.ts
@@ -1,13 +1,17 @@
-// The record of orders that were taken, by which an order that is sent again is known. Two ways name an order: the
-// operator's own number with the digest of what it holds, or a key (an idempotency key, or the revision that
-// If-Match names) with the digest of the request. Records are short and kept for thousands of orders. Below the
-// horizon the record may have gaps: the oldest were removed, or the cores formed anew and took
-// what nodes held, who keep no records. An order at or below it that is not known may have been taken, so it
-// must not be refused: it is left without a clear answer.
+/**
+ * The record of the orders (operators' requests for a change) that were taken, by which a repeated order is
+ * recognized. An order is identified in one of two ways: by the operator's own number and the digest of its content, or
+ * by a key (an idempotency key, or the revision that If-Match names) and the digest of the request. Entries are short
+ * and are kept for thousands of orders.
+ *
+ * Up to the horizon the record may have gaps: the oldest entries were removed, or the cores formed again and took
+ * over the state of nodes, which keep no such record. An unknown order at or below the horizon may have been taken, so
+ * it must not be refused; its outcome is reported as unknown.
+ */
 import { createHash } from 'node:crypto';
 import { Revision } from '../kinds/revision.js';
 
-/** What a state keeps of the orders that made it. */
+/** The record of taken orders that is part of a state. */
 export type Orders = {
   readonly numbers: readonly Orders.Numbered[];
   readonly answers: readonly Orders.Answer[];
@@ -15,25 +19,28 @@
 };
 
 export declare namespace Orders {
-  /** A taken order that came under the operator's own number. */
+  /** A taken order that came with the operator's own number. */
   type Numbered = { readonly number: number; readonly digest: string };
-  /** A taken order that came under a key, and the revision that it led to. */
+  /** A taken order that came with a key, and the revision that it produced. */
   type Answer = { readonly key: string; readonly digest: string; readonly revision: Revision };
   /** The highest number and the highest revision up to which orders may be missing from the record. */
   type Horizon = { readonly number: number; readonly revision: Revision };
-  /** What is known of an order under a number: `missing` is one that may have been taken without a record. */
-  type Numbering = 'taken' | 'missing' | 'new';
-  /** Orders as a state of any version holds them: earlier ones kept full keys and digests, and no horizon. */
+  /** What is known of a numbered order; `missing` means that it may have been taken without a record. */
+  type NumberStatus = 'taken' | 'missing' | 'new';
+  /** The record as any version wrote it: earlier versions kept full keys and digests, and no horizon. */
   type Earlier = Pick<Orders, 'answers'> & Partial<Orders>;
-  /** What the newest manifest tells of itself. */
+  /** The number and revision of the newest manifest. */
   type Newest = { readonly number: number | undefined; readonly revision: Revision };
 }
 
-const kept = 4096;
+/** How many numbers, and how many keys, are kept. */
+const maxEntries = 4096;
+/** Characters of a shortened digest: 96 bits in base64url. */
 const digestLength = 16;
+/** The key by which earlier versions kept a numbered order. */
 const numberedKey = /^number (\d+)$/;
 
-/** 96 bits of a text's digest, enough to tell orders apart. */
+/** A text's digest, cut to 96 bits, which is enough to tell orders apart. */
 const shortDigest = (text: string): string =>
   createHash('sha256').update(text).digest('base64url').slice(0, digestLength);
 
@@ -42,53 +49,54 @@
 
 const empty: Orders = { numbers: [], answers: [], horizon: { number: 0, revision: Revision.none } };
 
-const raise = (horizon: Orders.Horizon, by: Partial<Orders.Horizon>): Orders.Horizon => ({
+const raiseHorizon = (horizon: Orders.Horizon, by: Partial<Orders.Horizon>): Orders.Horizon => ({
   number: Math.max(horizon.number, by.number ?? 0),
   revision: Revision.of(Math.max(horizon.revision, by.revision ?? 0)),
 });
 
-const keepNumber = (orders: Orders, made: Orders.Numbered): Orders => {
-  if (orders.numbers.some((one) => isSame(one, made.number, made.digest))) return orders;
-  const numbers = [...orders.numbers, made];
-  const removed = numbers.splice(0, numbers.length - kept);
+const addNumber = (orders: Orders, entry: Orders.Numbered): Orders => {
+  if (orders.numbers.some((one) => isSame(one, entry.number, entry.digest))) return orders;
+  const numbers = [...orders.numbers, entry];
+  const removed = numbers.splice(0, numbers.length - maxEntries);
   const number = Math.max(0, ...removed.map((one) => one.number));
-  return { ...orders, numbers, horizon: raise(orders.horizon, { number }) };
+  return { ...orders, numbers, horizon: raiseHorizon(orders.horizon, { number }) };
 };
 
-const keepAnswer = (orders: Orders, made: Orders.Answer): Orders => {
-  const answers = [...orders.answers, made];
-  const removed = answers.splice(0, answers.length - kept);
+const addAnswer = (orders: Orders, entry: Orders.Answer): Orders => {
+  const answers = [...orders.answers, entry];
+  const removed = answers.splice(0, answers.length - maxEntries);
   const revision = removed.at(-1)?.revision ?? Revision.none;
-  return { ...orders, answers, horizon: raise(orders.horizon, { revision }) };
+  return { ...orders, answers, horizon: raiseHorizon(orders.horizon, { revision }) };
 };
 
-/** Keeps an order that came under a number. */
+/** Adds an order that came with a number. */
 const withNumber = (orders: Orders, number: number, digest: string): Orders =>
-  keepNumber(orders, { number, digest: shortDigest(digest) });
+  addNumber(orders, { number, digest: shortDigest(digest) });
 
-/** Keeps an order that came under a key. */
+/** Adds an order that came with a key. */
 const withAnswer = (orders: Orders, { key, digest, revision }: Orders.Answer): Orders =>
-  keepAnswer(orders, { key: shortDigest(key), digest: shortDigest(digest), revision });
+  addAnswer(orders, { key: shortDigest(key), digest: shortDigest(digest), revision });
 
-/** Says that orders up to the newest manifest may have been taken without a record here. */
+/** Raises the horizon to the newest manifest: orders up to it may have been taken without an entry here. */
 const withGaps = (orders: Orders, newest: Orders.Newest | undefined): Orders => {
   const highest = Math.max(0, newest?.number ?? 0, ...orders.numbers.map((one) => one.number));
   const horizon = { number: highest, revision: newest?.revision ?? Revision.none };
-  return { ...orders, horizon: raise(orders.horizon, horizon) };
+  return { ...orders, horizon: raiseHorizon(orders.horizon, horizon) };
 };
 
 const isEarlier = (answer: Orders.Answer): boolean => answer.digest.length !== digestLength;
 
 /**
- * The record in its present form. Whatever an earlier version wrote, also between two changes of this one during
- * a roll-out, may have gaps: how many orders it had removed is not known.
+ * Converts the record to its present form. A record that an earlier version wrote may have gaps, as it is not known how
+ * many entries that version removed. This includes entries written between changes of this version during a rolling
+ * upgrade.
  */
 const upgrade = (held: Orders.Earlier, newest: Orders.Newest | undefined): Orders => {
   const { numbers = [], answers, horizon = empty.horizon } = held;
-  const earlier = answers.filter(isEarlier);
+  const earlierAnswers = answers.filter(isEarlier);
   let orders: Orders = { numbers, answers: answers.filter((one) => !isEarlier(one)), horizon };
-  if (held.numbers && earlier.length === 0) return orders;
-  for (const answer of earlier) {
+  if (held.numbers && earlierAnswers.length === 0) return orders;
+  for (const answer of earlierAnswers) {
     const number = numberedKey.exec(answer.key)?.[1];
     orders =
       number === undefined ? withAnswer(orders, answer) : withNumber(orders, Number(number), answer.digest);
@@ -97,17 +105,17 @@
 };
 
 /**
- * Whether an order under a number was taken. A number that is known with another content was taken with that:
- * the order lost its race.
+ * Whether a numbered order was taken. If its number is known with another content, that content was taken and this
+ * order lost the race, so it counts as new.
  */
-const numberStatus = (orders: Orders, number: number, digest: string): Orders.Numbering => {
+const numberStatus = (orders: Orders, number: number, digest: string): Orders.NumberStatus => {
   const shortened = shortDigest(digest);
   if (orders.numbers.some((one) => isSame(one, number, shortened))) return 'taken';
   const isOther = orders.numbers.some((one) => one.number === number);
   return isOther || number > orders.horizon.number ? 'new' : 'missing';
 };
 
-/** The revision of the order taken under a key, and whether its digest is the one asked for. */
+/** The revision of the order taken with a key, and whether that order has the same digest. */
 const findAnswer = (
   orders: Orders,
   key: string,
@@ -119,19 +127,20 @@
 };
 
 /**
- * Whether an order that replaces a revision may have been taken without a record. What it led to came after
- * the revision it replaced, so from the horizon on every such order is known.
+ * Whether an order that replaces a revision may have been taken without an entry. An order's result is later than the
+ * revision it replaces, so every order on a revision at or above the horizon has an entry.
  */
 const mayBeMissing = (orders: Orders, replaced: Revision): boolean => replaced < orders.horizon.revision;
 
+/** Adds orders to the record and looks them up. */
 export const Orders = {
   empty,
-  shortDigest: shortDigest,
+  shortDigest,
   withNumber,
   withAnswer,
   withGaps,
   upgrade,
-  numberStatus: numberStatus,
-  findAnswer: findAnswer,
+  numberStatus,
+  findAnswer,
   mayBeMissing,
 };
--- a/src/store/seal.ts
+++ b/src/store/seal.ts
@@ -1,20 +1,24 @@
-// The seal over records at rest: AES-256-GCM under a key that the operators keep in a file of their own. A record
-// that does not open under the key is no damage of the disk: the wrong key was given, and nothing is set aside.
+/**
+ * Encryption of records at rest: AES-256-GCM under a key that the operators keep in a file of their own. A record that
+ * does not open is taken for a wrong key and not for a damaged disk, so the data folder is not set aside.
+ */
 import { createCipheriv, createDecipheriv, randomBytes } from 'node:crypto';
 import { readFile } from 'node:fs/promises';
 import { Failure } from '../kinds/failure.js';
 
-/** Closes payloads under a key and opens them again. */
+/** Encrypts (seals) and decrypts (opens) payloads under one key. */
 export type Seal = {
   readonly seal: (plain: Uint8Array) => Buffer;
   readonly open: (sealed: Uint8Array) => Buffer;
 };
 
 const algorithm = 'aes-256-gcm';
-const marks = { iv: 12, tag: 16 } as const;
+/** Lengths in bytes; a sealed payload is the IV, the tag and the ciphertext. */
+const lengths = { iv: 12, tag: 16 } as const;
 
+/** Creates seals. */
 export const Seal = {
-  /** The seal under the key of a key file. */
+  /** The seal with the key from a key file. */
   async read(path: string): Promise<Seal> {
     const text = await readFile(path, 'utf8').catch((cause: unknown) => {
       throw Failure.of('startup', `cannot read the key file ${path}`, {}, cause);
@@ -23,19 +27,19 @@
       throw Failure.of('startup', `the key file ${path} must hold 32 bytes in hexadecimal`);
     return Seal.of(Buffer.from(text.trim(), 'hex'));
   },
-  /** The seal under a key of 32 bytes. */
+  /** The seal with a key of 32 bytes. */
   of: (key: Uint8Array): Seal => ({
     seal(plain) {
-      const iv = randomBytes(marks.iv);
+      const iv = randomBytes(lengths.iv);
       const cipher = createCipheriv(algorithm, key, iv);
       const bytes = Buffer.concat([cipher.update(plain), cipher.final()]);
       return Buffer.concat([iv, cipher.getAuthTag(), bytes]);
     },
     open(sealed) {
       try {
-        const decipher = createDecipheriv(algorithm, key, sealed.subarray(0, marks.iv));
-        decipher.setAuthTag(sealed.subarray(marks.iv, marks.iv + marks.tag));
-        return Buffer.concat([decipher.update(sealed.subarray(marks.iv + marks.tag)), decipher.final()]);
+        const decipher = createDecipheriv(algorithm, key, sealed.subarray(0, lengths.iv));
+        decipher.setAuthTag(sealed.subarray(lengths.iv, lengths.iv + lengths.tag));
+        return Buffer.concat([decipher.update(sealed.subarray(lengths.iv + lengths.tag)), decipher.final()]);
       } catch (cause) {
         throw Failure.of('store', 'the state does not open under the key file given', {}, cause);
       }
--- a/src/store/state.ts
+++ b/src/store/state.ts
@@ -1,6 +1,8 @@
-// The system's own state and the changes that make it. A change carries the stamp it leads to; the
-// same changes in the same order give the same state on every copy. A state is never changed: the next one shares
-// with it all that stayed, so that a change costs the same however much is kept.
+/**
+ * The replicated state and the changes that produce it. A change carries the stamp of the state that it leads to; the
+ * same changes in the same order give the same state on every copy. States are immutable: the next one shares all
+ * unchanged parts with the one before, so the cost of a change does not grow with the amount that is kept.
+ */
 import { Epoch } from '../kinds/epoch.js';
 import type { Ident } from '../kinds/ident.js';
 import { Revision } from '../kinds/revision.js';
@@ -12,7 +14,7 @@
 import { Manifests } from './manifests.js';
 import { Orders } from './orders.js';
 
-/** All that the control side keeps, as of one stamp. */
+/** Everything that the cores keep, as of one stamp. */
 export type State = Orders & {
   readonly stamp: Stamp;
   readonly formed: Epoch;
@@ -22,19 +24,19 @@
 };
 
 export declare namespace State {
-  /** A kept manifest and the change that brought it. */
+  /** A kept manifest, with who put it and when. */
   type Manifest = {
     readonly revision: Revision;
     readonly epoch: Epoch;
     readonly document: Document;
     readonly by: string;
     readonly at: string;
-    /** Of its document as JSON, without its source. */
+    /** The length of the document as JSON without its source, in characters. */
     readonly length?: number;
   };
-  /** A state as an earlier version wrote it. */
-  type Earlier = Omit<State, 'numbers' | 'horizon'> & Partial<Pick<State, 'numbers' | 'horizon'>>;
-  /** Who changed what, as operators read it. */
+  /** A state as any version may have written it. */
+  type Stored = Omit<State, 'numbers' | 'horizon'> & Partial<Pick<State, 'numbers' | 'horizon'>>;
+  /** An entry of the audit log that operators read. */
   type Audit = {
     readonly revision: Revision;
     readonly by: string;
@@ -42,9 +44,9 @@
     readonly what: string;
     readonly teams: readonly string[];
   };
-  /** A change, and the stamp of the state that it leads to. */
+  /** A change, with the stamp of the state that it leads to. */
   type Change = { readonly stamp: Stamp } & (
-    | { readonly kind: 'whole'; readonly state: State.Earlier }
+    | { readonly kind: 'whole'; readonly state: State.Stored }
     | {
         readonly kind: 'manifest';
         readonly document: Document;
@@ -53,7 +55,7 @@
         readonly what: string;
         readonly teams: readonly string[];
         readonly answer?: { readonly key: string; readonly digest: string };
-        /** Taken after a forming and before the nodes were asked: earlier orders may be unknown. */
+        /** Set for a change after a forming and before the nodes were asked: earlier orders may be unknown. */
         readonly isUnsettled?: true;
       }
     | {
@@ -75,19 +77,19 @@
         readonly kind: 'settled';
         readonly formed: Epoch;
         readonly view: View;
-        /** Set where the cores form for the first time: nothing can have been taken before. */
+        /** Set if the cores form for the first time: no order can have been taken before. */
         readonly isFirstStart?: true;
       }
   );
 }
 
-const keptAudit = 1024;
+const maxAuditEntries = 1024;
 
 type Kind = State.Change['kind'];
-type Of<K extends Kind> = Extract<State.Change, { kind: K }>;
-type Part = { readonly epoch: Epoch; readonly revision: Revision };
+type ChangeOf<K extends Kind> = Extract<State.Change, { kind: K }>;
+type Position = { readonly epoch: Epoch; readonly revision: Revision };
 
-const isNewer = (offered: Part, held: Part | undefined): boolean =>
+const isNewer = (offered: Position, held: Position | undefined): boolean =>
   held === undefined || Stamp.isNewer(offered, held);
 
 const empty: State = {
@@ -101,7 +103,7 @@
 
 const withAudit = (state: State, entry: Omit<State.Audit, 'teams'> & Partial<State.Audit>): State => ({
   ...state,
-  audit: [...state.audit.slice(-keptAudit + 1), { ...entry, teams: entry.teams ?? [] }],
+  audit: [...state.audit.slice(-maxAuditEntries + 1), { ...entry, teams: entry.teams ?? [] }],
 });
 
 const withManifest = (state: State, manifest: State.Manifest): State => ({
@@ -124,101 +126,102 @@
   ...Orders.withGaps(state, newestOf(state.manifests)),
 });
 
-/** A manifest under a number is known by that; others are known by their keys. */
-const withOrder = (state: State, { document, answer, stamp }: Of<'manifest'>): State => {
+/** Records the order of a manifest: by its number if it has one, otherwise by its key. */
+const recordOrder = (state: State, { document, answer, stamp }: ChangeOf<'manifest'>): State => {
   const recorded = withSource(state, document);
   const isNumbered = answer?.key === `number ${document.source?.number}`;
   if (!answer || isNumbered) return recorded;
   return { ...recorded, ...Orders.withAnswer(recorded, { ...answer, revision: stamp.revision }) };
 };
 
-const putManifest = (state: State, change: Of<'manifest'>): State => {
+const putManifest = (state: State, change: ChangeOf<'manifest'>): State => {
   const { document, by, at, what, teams, stamp } = change;
   const manifest = { ...stamp, document, by, at, length: DocumentText.measure(document) };
-  const put = withOrder(withManifest(state, manifest), change);
-  const known = change.isUnsettled && state.formed !== Epoch.none ? withGaps(put) : put;
-  return withAudit(known, { revision: stamp.revision, by, at, what, teams });
+  const recorded = recordOrder(withManifest(state, manifest), change);
+  const next = change.isUnsettled && state.formed !== Epoch.none ? withGaps(recorded) : recorded;
+  return withAudit(next, { revision: stamp.revision, by, at, what, teams });
 };
 
-const evacuate = (state: State, { zones, by, at, what, stamp }: Of<'evacuations'>): State => {
+const evacuate = (state: State, { zones, by, at, what, stamp }: ChangeOf<'evacuations'>): State => {
   const newest = state.manifests.at(-1);
   if (!newest) return state;
   const document = { ...newest.document, evacuations: zones };
-  EncodedChange.follow(document, newest.document);
+  EncodedChange.copyOrigin(document, newest.document);
   const evacuated = withManifest(state, { ...newest, ...stamp, document, by, at });
   return withAudit(evacuated, { revision: stamp.revision, by, at, what });
 };
 
-const replaceList = (state: State, { serial, servers, at, stamp }: Of<'platform'>): State => {
-  const held = new Set<string>(servers.map((server) => server.instance));
-  const leaving = state.platform.leaving.filter((instance) => held.has(instance));
+const replaceServers = (state: State, { serial, servers, at, stamp }: ChangeOf<'platform'>): State => {
+  const listedInstances = new Set<string>(servers.map((server) => server.instance));
+  const leaving = state.platform.leaving.filter((instance) => listedInstances.has(instance));
   const listed = { ...state, platform: { ...stamp, serial, servers, leaving } };
   return withAudit(listed, { revision: stamp.revision, by: 'platform', at, what: 'server list' });
 };
 
-const leave = (state: State, { instance, at, stamp }: Of<'leaving'>): State => {
+const markLeaving = (state: State, { instance, at, stamp }: ChangeOf<'leaving'>): State => {
   const { platform } = state;
   const leaving = platform.leaving.includes(instance) ? platform.leaving : [...platform.leaving, instance];
   const left = { ...state, platform: { ...platform, ...stamp, leaving } };
   return withAudit(left, { revision: stamp.revision, by: 'platform', at, what: `leaving ${instance}` });
 };
 
-/** The cores formed anew: what nodes hold is taken where it is newer, and orders may be missing from the record. */
-const settle = (state: State, { formed, view, stamp, ...more }: Of<'settled'>): State => {
+/** After a new forming: takes what nodes hold where it is newer; orders may be missing from the record. */
+const settle = (state: State, { formed, view, stamp, ...more }: ChangeOf<'settled'>): State => {
   const { manifest, platform } = view;
   const held = state.manifests.at(-1);
-  const isPut = (held?.epoch ?? 0) > formed;
-  const isListed = state.platform.epoch > formed;
+  const hasNewManifest = (held?.epoch ?? 0) > formed;
+  const hasNewServers = state.platform.epoch > formed;
   let settled: State = { ...state, formed };
-  if (manifest && !isPut && isNewer(manifest, held))
+  if (manifest && !hasNewManifest && isNewer(manifest, held))
     settled = withManifest(settled, { ...stamp, document: manifest.document, by: 'settled', at: '' });
-  if (!isListed && isNewer(platform, state.platform))
+  if (!hasNewServers && isNewer(platform, state.platform))
     settled = { ...settled, platform: { ...platform, ...stamp } };
-  // Blank cores that find no manifest at any node are at their first start as well: no order can be missing.
+  // Blank cores that find no manifest on any node are starting for the first time too, so no order can be missing.
   const isFirstStart = state.formed === Epoch.none && (!manifest || more.isFirstStart === true);
   if (!isFirstStart) settled = withGaps(withSource(settled, manifest?.document));
   const what = 'the cores formed anew';
   return withAudit(settled, { revision: stamp.revision, by: 'settled', at: '', what });
 };
 
-/** A state of any version in the present form; the newest manifests may tell of orders that no record names. */
-const upgrade = (held: State.Earlier): State => {
-  const state = { ...held, ...Orders.upgrade(held, newestOf(held.manifests)) };
-  return held.manifests.slice(-2).reduce((known, { document }) => withSource(known, document), state);
+/** Converts a state of any version to the present form; its newest manifests may name orders not yet recorded. */
+const upgrade = (stored: State.Stored): State => {
+  const state = { ...stored, ...Orders.upgrade(stored, newestOf(stored.manifests)) };
+  return stored.manifests.slice(-2).reduce((next, { document }) => withSource(next, document), state);
 };
 
-const change = (state: State, made: State.Change): State => {
-  switch (made.kind) {
+const applyChange = (state: State, change: State.Change): State => {
+  switch (change.kind) {
     case 'whole':
-      return upgrade(made.state);
+      return upgrade(change.state);
     case 'manifest':
-      return putManifest(state, made);
+      return putManifest(state, change);
     case 'evacuations':
-      return evacuate(state, made);
+      return evacuate(state, change);
     case 'platform':
-      return replaceList(state, made);
+      return replaceServers(state, change);
     case 'leaving':
-      return leave(state, made);
+      return markLeaving(state, change);
     case 'settled':
-      return settle(state, made);
+      return settle(state, change);
     case 'opened':
       return state;
   }
 };
 
+/** Applies changes and reads states. */
 export const State = {
   empty,
-  /** The state after a change; the one before stays as it is. */
-  apply(state: State, made: State.Change): State {
-    const next = change(state, made);
-    return made.kind === 'whole' ? next : { ...next, stamp: made.stamp };
+  /** The state after a change; the given state is not modified. */
+  apply(state: State, change: State.Change): State {
+    const next = applyChange(state, change);
+    return change.kind === 'whole' ? next : { ...next, stamp: change.stamp };
   },
-  /** Whether the state is as of the newest forming: the nodes were asked, or a manifest was put since. */
+  /** Whether the state is up to date with a forming: the nodes were asked, or a manifest was put since then. */
   isSettled: (state: State, formed: Epoch): boolean =>
     state.formed === formed || (state.manifests.at(-1)?.epoch ?? 0) > formed,
   /** The manifest in force. */
   newest: (state: State): State.Manifest | undefined => state.manifests.at(-1),
-  /** What nodes are told of the state. */
+  /** The part of the state that nodes receive. */
   view: (state: State): View => {
     const manifest = state.manifests.at(-1);
     return {
--- a/tools/simulation/plant-list.ts
+++ b/tools/simulation/plant-list.ts
@@ -117,8 +117,8 @@
       ['if (base !== current)\n', 'if (number < 0)\n'],
     ),
     plant('the tail after a snapshot is left out', 'store/store.ts', [
-      'for (const payload of file.payloads) replay.take',
-      'for (const payload of file.payloads.slice(0, Math.max(1, file.payloads.length - 1))) replay.take',
+      'for (const payload of file.payloads) replay.add',
+      'for (const payload of file.payloads.slice(0, Math.max(1, file.payloads.length - 1))) replay.add',
     ]),
     plant('a record that is not synced', 'store/file.ts', ['await this.#handle.datasync();', '']),
     plant('a rewritten file that is not made lasting', 'store/file.ts', [
