--- a/test/disk-kit.ts
+++ b/test/disk-kit.ts
@@ -1,61 +1,65 @@
-// Watches and disturbs what this process does to its files, step by step, without a program beside it: each write,
-// sync, rename and removal is told before it is done, and may be held or made to fail.
+/**
+ * Observes and disturbs the file operations of this process, one step at a time and without another program: a callback
+ * runs before each write, sync, truncation, rename and removal, and may delay it or make it fail.
+ */
 
 import promises, { type FileHandle } from 'node:fs/promises';
 import { syncBuiltinESMExports } from 'node:module';
 
+/** A running observation of file operations. */
 export type DiskKit = {
-  /** Puts all back as it was. */
+  /** Restores the original functions. */
   readonly restore: () => void;
 };
 
 export declare namespace DiskKit {
   type Step = {
     readonly kind: 'write' | 'sync' | 'datasync' | 'truncate' | 'rename' | 'rm';
-    /** The file that is opened, or the name that is changed. */
+    /** The path of the open file, or the path that is renamed or removed. */
     readonly path: string;
   };
-  /** Called before each step; the step fails where it throws. */
+  /** Called before each step; the step fails if it throws. */
   type Before = (step: Step) => Promise<void> | void;
 }
 
-const onHandles = ['write', 'sync', 'datasync', 'truncate'] as const;
-const onNames = ['rename', 'rm'] as const;
+const handleMethods = ['write', 'sync', 'datasync', 'truncate'] as const;
+const pathFunctions = ['rename', 'rm'] as const;
 
-type Call = (...values: unknown[]) => Promise<unknown>;
+type AsyncFunction = (...values: unknown[]) => Promise<unknown>;
 
+/** Starts observations. */
 export const DiskKit = {
   async watch(before: DiskKit.Before): Promise<DiskKit> {
-    const names = promises as unknown as Record<string, Call>;
+    const functions = promises as unknown as Record<string, AsyncFunction>;
     const probe = await promises.open('.', 'r');
-    const handles = Object.getPrototypeOf(probe) as Record<string, Call>;
+    const methods = Object.getPrototypeOf(probe) as Record<string, AsyncFunction>;
     await probe.close();
     const paths = new WeakMap<object, string>();
-    const kept = {
-      open: names.open!,
-      ...Object.fromEntries(onNames.map((name) => [name, names[name]!])),
-    } as Record<string, Call>;
-    const keptOnHandles = Object.fromEntries(onHandles.map((name) => [name, handles[name]!]));
-    names.open = async (...values) => {
-      const handle = (await kept.open!(...values)) as FileHandle;
+    const originalFunctions = {
+      open: functions.open!,
+      ...Object.fromEntries(pathFunctions.map((name) => [name, functions[name]!])),
+    } as Record<string, AsyncFunction>;
+    const originalMethods = Object.fromEntries(handleMethods.map((name) => [name, methods[name]!]));
+    functions.open = async (...values) => {
+      const handle = (await originalFunctions.open!(...values)) as FileHandle;
       paths.set(handle, String(values[0]));
       return handle;
     };
-    for (const kind of onNames)
-      names[kind] = async (...values) => {
+    for (const kind of pathFunctions)
+      functions[kind] = async (...values) => {
         await before({ kind, path: String(values[0]) });
-        return kept[kind]!(...values);
+        return originalFunctions[kind]!(...values);
       };
-    for (const kind of onHandles)
-      handles[kind] = async function (this: object, ...values: unknown[]) {
+    for (const kind of handleMethods)
+      methods[kind] = async function (this: object, ...values: unknown[]) {
         await before({ kind, path: paths.get(this) ?? '' });
-        return keptOnHandles[kind]!.apply(this, values);
+        return originalMethods[kind]!.apply(this, values);
       };
     syncBuiltinESMExports();
     return {
       restore() {
-        Object.assign(promises, kept);
-        Object.assign(handles, keptOnHandles);
+        Object.assign(promises, originalFunctions);
+        Object.assign(methods, originalMethods);
         syncBuiltinESMExports();
       },
     };
--- a/test/disk.test.ts
+++ b/test/disk.test.ts
@@ -1,12 +1,14 @@
-// Disks under the primary that stall, fill or vanish: it gives up its place, nothing acknowledged is lost,
-// and a manifest is taken again within twelve seconds. Wall clocks that jump change nothing.
+/**
+ * Faults of the primary's disk (stalled, full or removed): the primary gives up its role, nothing acknowledged is lost,
+ * and manifests are accepted again within twelve seconds. Jumps of the wall clock have no effect.
+ */
 import assert from 'node:assert/strict';
 import { rmSync } from 'node:fs';
 import { after, before, describe, it } from 'node:test';
 import { FleetKit } from '../tools/fleet-kit.js';
 import { Bench } from './bench.js';
 
-const backWithin = 12_000;
+const recoveryLimitMs = 12_000;
 
 describe('disk and clock', () => {
   let bench: Bench;
@@ -17,7 +19,7 @@
   });
   after(() => bench.stop());
 
-  const tenure = async () => {
+  const currentTerm = async () => {
     for (;;) {
       const status = await bench.kit.operate('GET', '/v1/status').catch(() => undefined);
       if (status?.status === 200)
@@ -28,9 +30,9 @@
         };
     }
   };
-  const leading = async (): Promise<FleetKit.Core> => {
-    let now = await tenure();
-    while (now.inSync.length < 2) now = await tenure();
+  const currentPrimary = async (): Promise<FleetKit.Core> => {
+    let now = await currentTerm();
+    while (now.inSync.length < 2) now = await currentTerm();
     const node = now.cores.find((core) => core.disk === now.primary)?.node;
     return bench.kit.cores.find((core) => core.node === node)!;
   };
@@ -40,10 +42,10 @@
       if (read.status === 200) return read.body.note;
     }
   };
-  const putAnywhere = async (): Promise<string> => {
+  const putUntilAccepted = async (): Promise<string> => {
     count += 1;
     const note = `note ${count}`;
-    const began = performance.now();
+    const startedAt = performance.now();
     for (let turn = 0; ; turn += 1) {
       const { http } = bench.kit.cores[turn % 3]!;
       const headers = { authorization: `Bearer ${FleetKit.operatorToken}` };
@@ -65,19 +67,19 @@
           : undefined;
       if (put?.status === 200) return note;
       if (read?.status === 200 && read.body.note === note) return note;
-      assert.ok(performance.now() - began < backWithin, 'no manifest was taken in time');
+      assert.ok(performance.now() - startedAt < recoveryLimitMs, 'no manifest was accepted in time');
     }
   };
 
   for (const kind of ['stall', 'full', 'gone'] as const)
-    it(`goes on when the primary’s disk is ${kind}`, async () => {
-      const before = await putAnywhere();
-      const first = await leading();
+    it(`accepts manifests again when the primary’s disk is ${kind}`, async () => {
+      const before = await putUntilAccepted();
+      const first = await currentPrimary();
       const heal = bench.faults!.disk(first.node, kind);
-      const began = performance.now();
-      let note = await putAnywhere();
-      while ((await leading()).node === first.node) note = await putAnywhere();
-      assert.ok(performance.now() - began < backWithin);
+      const startedAt = performance.now();
+      let note = await putUntilAccepted();
+      while ((await currentPrimary()).node === first.node) note = await putUntilAccepted();
+      assert.ok(performance.now() - startedAt < recoveryLimitMs);
       assert.notEqual(note, before);
       heal();
       await first.process?.end('SIGKILL');
@@ -85,9 +87,9 @@
       assert.equal(await readNote(), note);
     });
 
-  it('never counts the vote of an emptied core, and loses nothing by waiting for one that remembers', async () => {
-    const first = await leading();
-    const now = await tenure();
+  it('never counts the vote of a core with an empty disk, and loses nothing by waiting for one that is not blank', async () => {
+    const first = await currentPrimary();
+    const now = await currentTerm();
     const coreOf = (disk: string) =>
       bench.kit.cores.find((core) => core.node === now.cores.find((one) => one.disk === disk)?.node)!;
     const stale = coreOf(now.inSync.find((disk) => disk !== now.primary)!);
@@ -100,17 +102,17 @@
       return at.inSync.length === 2 && !at.inSync.includes(now.inSync.find((disk) => disk !== now.primary)!);
     };
     while (!(await isMoved()));
-    const note = await putAnywhere();
+    const note = await putUntilAccepted();
     await Promise.all([first, emptied].map((core) => core.process?.end('SIGKILL')));
     rmSync(emptied.data, { recursive: true, force: true });
     heal();
     await bench.kit.startCore(emptied);
-    const triesOf = async () => {
+    const takeoverAttempts = async () => {
       const ring = await (await fetch(`http://${stale.http}/log`)).text();
       return ring.split('taking over').length - 1;
     };
-    const before = await triesOf();
-    while ((await triesOf()) < before + 3) {
+    const before = await takeoverAttempts();
+    while ((await takeoverAttempts()) < before + 3) {
       const told = await fetch(`http://${stale.http}/health`);
       assert.equal(((await told.json()) as { state: string }).state, 'following');
     }
@@ -118,13 +120,13 @@
     assert.equal(await readNote(), note);
   });
 
-  it('goes on whatever the wall clocks say', async () => {
+  it('keeps working whatever the wall clocks show', async () => {
     const heals = bench.kit.cores.map((core, index) =>
       bench.faults!.clock(core.node, (index - 1) * 86_400_000),
     );
-    const note = await putAnywhere();
+    const note = await putUntilAccepted();
     for (const heal of heals) heal();
     assert.equal(await readNote(), note);
-    await putAnywhere();
+    await putUntilAccepted();
   });
 });
--- a/test/orders.test.ts
+++ b/test/orders.test.ts
@@ -1,5 +1,7 @@
-// Orders that were taken are never refused when they are sent again: they are acknowledged, or left without a
-// clear answer where the record of orders may have a gap. Orders that lost their race are refused all the same.
+/**
+ * Orders that are sent again: one that was taken is never refused. It is acknowledged, or its outcome is reported as
+ * unknown where the record of orders may have a gap. An order that lost a race against another one is still refused.
+ */
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -20,7 +22,8 @@
 import { State } from '../src/store/state.js';
 import { Store } from '../src/store/store.js';
 
-const recordsKept = 4096;
+/** As in src/store/orders.ts. */
+const maxEntries = 4096;
 const folder = mkdtempSync(join(tmpdir(), 'bramblebend-orders-'));
 
 const plain = (note: string): Document =>
@@ -30,7 +33,7 @@
   return { ...plain(`${content} ${number}`), source };
 };
 
-/** One core's state under one primary, changed by the commands as the control plane runs them. */
+/** The state of one primary, changed by the same commands that the control plane runs. */
 class Cores {
   state: State = State.empty;
   formed = Epoch.of(1);
@@ -64,7 +67,7 @@
     const first = isFirst ? { isFirstStart: true as const } : {};
     this.take({ kind: 'settled', formed: this.formed, view, stamp, ...first });
   }
-  /** All cores lose their disks but for what is handed in, form anew, and take what nodes hold. */
+  /** All cores lose their disks except for the given state, form again, and take over what the nodes hold. */
   form(view: View, kept: State = State.empty): void {
     this.state = kept;
     this.epoch = Epoch.of(Math.max(this.epoch, view.stamp.epoch) + 1);
@@ -89,17 +92,17 @@
   }
 }
 
-const statusOf = async (asked: Promise<Responses>) => (await asked).status;
+const statusOf = async (response: Promise<Responses>) => (await response).status;
 
-const assertUnclear = async (asked: Promise<Responses>, what: string): Promise<void> => {
-  const { status, body, headers } = await asked;
+const assertOutcomeUnknown = async (response: Promise<Responses>, what: string): Promise<void> => {
+  const { status, body, headers } = await response;
   assert.equal(status, 503, what);
   assert.equal((body as { error: { taken?: string } }).error.taken, 'unknown', what);
   assert.ok(Number(headers?.['retry-after']) > 0, what);
 };
 
-/** Numbers that rise by uneven steps, each on the one before. */
-const takeNumbers = async (cores: Cores, count: number): Promise<[number, number][]> => {
+/** Puts manifests under numbers that rise in uneven steps, each on top of the one before. */
+const putNumbers = async (cores: Cores, count: number): Promise<[number, number][]> => {
   const orders: [number, number][] = [];
   let base = 0;
   for (let index = 0; index < count; index += 1) {
@@ -114,9 +117,9 @@
 describe('orders sent again', () => {
   after(() => rmSync(folder, { recursive: true, force: true }));
 
-  it('acknowledges each of 600 numbered orders again, whatever was taken between', async () => {
+  it('acknowledges each of 600 numbered orders again, whatever was taken in between', async () => {
     const cores = new Cores();
-    const orders = await takeNumbers(cores, 600);
+    const orders = await putNumbers(cores, 600);
     for (let index = 0; index < 300; index += 1)
       assert.equal(await statusOf(cores.replace(`between ${index}`, cores.revision(), `k${index}`)), 200);
     const before = cores.state;
@@ -124,9 +127,9 @@
     assert.equal(cores.state, before);
   });
 
-  it('refuses what lost its race and what is not above, while the record has no gap', async () => {
+  it('refuses orders that lost a race or whose number is too low, while the record has no gap', async () => {
     const cores = new Cores();
-    const orders = await takeNumbers(cores, 20);
+    const orders = await putNumbers(cores, 20);
     const [[number, base], [newest]] = [orders[9]!, orders.at(-1)!];
     assert.equal(await statusOf(cores.put(number, base, 'another')), 412);
     assert.equal(await statusOf(cores.put(newest + 5, base)), 412);
@@ -134,24 +137,25 @@
     assert.equal(await statusOf(cores.put(newest, newest, 'another')), 400);
   });
 
-  it('leaves an order whose record was dropped without a clear answer', async () => {
+  it('reports an unknown outcome for an order whose entry was removed', async () => {
     const cores = new Cores();
-    const orders = await takeNumbers(cores, recordsKept + 10);
-    const [dropped, known] = [orders.slice(0, 10), orders.slice(10)];
-    for (const [number, base] of dropped) await assertUnclear(cores.put(number, base), `number ${number}`);
+    const orders = await putNumbers(cores, maxEntries + 10);
+    const [removed, known] = [orders.slice(0, 10), orders.slice(10)];
+    for (const [number, base] of removed)
+      await assertOutcomeUnknown(cores.put(number, base), `number ${number}`);
     for (const [number, base] of known.slice(0, 50))
       assert.equal(await statusOf(cores.put(number, base)), 200);
     const [late] = orders.at(-1)!;
     assert.equal(await statusOf(cores.put(late + 1, orders.at(-1)![1])), 412);
   });
 
-  it('never refuses an order taken before the cores formed anew, and refuses losers after it', async () => {
+  it('never refuses an order taken before the cores formed again, and refuses lost races after it', async () => {
     const cores = new Cores();
-    const orders = await takeNumbers(cores, 50);
+    const orders = await putNumbers(cores, 50);
     const [newest, before] = orders.at(-1)!;
     cores.form(State.view(cores.state));
     for (const [number, base] of orders.slice(0, -1))
-      await assertUnclear(cores.put(number, base), `number ${number}`);
+      await assertOutcomeUnknown(cores.put(number, base), `number ${number}`);
     assert.equal(await statusOf(cores.put(newest, before)), 200);
     assert.equal(await statusOf(cores.put(newest, before, 'another')), 412);
     assert.equal(await statusOf(cores.put(newest + 4, newest)), 200);
@@ -160,20 +164,20 @@
     assert.equal(await statusOf(cores.put(newest, before)), 200);
   });
 
-  it('knows after a forming what a kept disk recorded', async () => {
+  it('knows after a forming the orders that a surviving disk recorded', async () => {
     const cores = new Cores();
-    const orders = await takeNumbers(cores, 30);
+    const orders = await putNumbers(cores, 30);
     const kept = cores.state;
     const [newest] = orders.at(-1)!;
     assert.equal(await statusOf(cores.put(newest + 7, newest)), 200);
     assert.equal(await statusOf(cores.put(newest + 9, newest + 7)), 200);
     cores.form(State.view(cores.state), kept);
     for (const [number, base] of orders) assert.equal(await statusOf(cores.put(number, base)), 200);
-    await assertUnclear(cores.put(newest + 7, newest), 'only the lost disks recorded it');
+    await assertOutcomeUnknown(cores.put(newest + 7, newest), 'only the lost disks recorded it');
     assert.equal(await statusOf(cores.put(newest + 9, newest + 7)), 200);
   });
 
-  it('acknowledges a keyed order again after 300 others, and one that came without a key', async () => {
+  it('acknowledges an order again after 300 others, with an idempotency key or without', async () => {
     const cores = new Cores();
     const first = await cores.replace('keyed', 0, 'key');
     const second = await cores.replace('no key', cores.revision());
@@ -187,7 +191,7 @@
     assert.equal(await statusOf(cores.replace('another', replaced, 'new key')), 412);
   });
 
-  it('leaves an order under If-Match without a clear answer when forming may have lost its key', async () => {
+  it('reports an unknown outcome for an order with If-Match when a forming may have lost its key', async () => {
     for (const isUnsettledPut of [false, true]) {
       const cores = new Cores();
       await cores.replace('one', 0, 'key 1');
@@ -200,16 +204,16 @@
         cores.formed = Epoch.of(5);
         assert.equal(await statusOf(cores.replace('anew', 0)), 200);
       } else cores.form(view);
-      await assertUnclear(cores.replace('two', replaced, 'key 2'), 'under its key');
+      await assertOutcomeUnknown(cores.replace('two', replaced, 'key 2'), 'under its key');
       assert.equal(await statusOf(cores.replace('two', replaced)), 412);
-      await assertUnclear(cores.rollBack(replaced, replaced, 'key 3'), 'a rollback');
+      await assertOutcomeUnknown(cores.rollBack(replaced, replaced, 'key 3'), 'a rollback');
       const current = cores.revision();
       assert.equal(await statusOf(cores.replace('left', current, 'key 4')), 200);
       assert.equal(await statusOf(cores.replace('right', current, 'key 5')), 412);
     }
   });
 
-  it('refuses a second first manifest, also when the first came before the nodes were asked', async () => {
+  it('refuses a second first manifest, also when the first was put before the nodes were asked', async () => {
     const cores = new Cores();
     cores.state = State.empty;
     assert.equal(await statusOf(cores.replace('first', 0)), 200);
@@ -218,7 +222,7 @@
     assert.equal(await statusOf(cores.replace('first', 0)), 200);
   });
 
-  it('refuses it also at the first start where nodes already hold what was put before they were asked', async () => {
+  it('refuses it also at a first start where nodes already hold the one put before they were asked', async () => {
     const cores = new Cores();
     cores.state = State.empty;
     assert.equal(await statusOf(cores.replace('first', 0, 'key-1')), 200);
@@ -227,7 +231,7 @@
     assert.equal(await statusOf(cores.replace('first', 0, 'key-1')), 200);
   });
 
-  it('acknowledges a rollback again, also when the manifest it went back to is no longer kept', async () => {
+  it('acknowledges a rollback again, also when its target manifest is no longer kept', async () => {
     const cores = new Cores();
     await cores.replace('one', 0);
     const wanted = cores.revision();
@@ -240,9 +244,9 @@
     assert.equal(await statusOf(cores.rollBack(wanted, cores.revision())), 404);
   });
 
-  it('carries the record through whole states on disk', async () => {
+  it('keeps the record in whole states on disk', async () => {
     const cores = new Cores();
-    const orders = await takeNumbers(cores, 300);
+    const orders = await putNumbers(cores, 300);
     const store = await Store.open(join(folder, 'whole'));
     await store.apply({ kind: 'whole', stamp: cores.state.stamp, state: cores.state });
     await store.close();
@@ -252,7 +256,7 @@
     for (const [number, base] of orders) assert.equal(await statusOf(cores.put(number, base)), 200);
   });
 
-  it('reads a state of the version before, and knows that it may have a gap', async () => {
+  it('reads a state of the previous version, and treats its record as one with gaps', async () => {
     const stamp = Stamp.of(1, 9);
     const manifests = [{ ...stamp, document: numbered(40), by: 'operator', at: '' }];
     const answers = [{ key: 'number 30', digest: 'the content of 30', revision: 8 }];
@@ -267,7 +271,7 @@
     await store.close();
     assert.equal(await statusOf(cores.put(30, 20)), 200);
     assert.equal(await statusOf(cores.put(40, 30)), 200);
-    await assertUnclear(cores.put(20, 10), 'may have been dropped');
+    await assertOutcomeUnknown(cores.put(20, 10), 'may have been removed');
     assert.equal(await statusOf(cores.put(50, 30)), 412);
     assert.equal(await statusOf(cores.put(50, 40)), 200);
     assert.equal(await statusOf(cores.put(40, 30)), 200);
@@ -275,6 +279,6 @@
     const mixed = { ...cores.state, answers: [...cores.state.answers, late] };
     cores.take({ kind: 'whole', stamp: Stamp.of(1, 11), state: mixed });
     assert.equal(await statusOf(cores.put(60, 50)), 200);
-    await assertUnclear(cores.put(55, 40), 'taken while the version before led, or not');
+    await assertOutcomeUnknown(cores.put(55, 40), 'taken while the version before led, or not');
   });
 });
--- a/test/register.test.ts
+++ b/test/register.test.ts
@@ -1,5 +1,7 @@
-// The register among cores of one process: a term that only a few accepted is relied on by nobody before
-// a majority has accepted it, and what a majority accepted is found by every later change.
+/**
+ * The register among several cores in one process: no core relies on a term before a majority has accepted it, and every
+ * later change finds what a majority accepted.
+ */
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -14,11 +16,12 @@
 import type { Courier } from '../src/wire/courier.js';
 import type { Frame } from '../src/wire/frame.js';
 
+/** One core of the group under test. */
 type Member = {
   readonly register: Register;
   readonly proposer: Proposer;
   readonly core: Frame.Core;
-  /** Lets every later write of the register's file fail. */
+  /** Makes every later append to the register's file fail. */
   readonly breakFile: () => void;
 };
 
@@ -28,13 +31,16 @@
 const openRegister = async (data: string): Promise<Register> =>
   Register.open(await File.open(data, 'register.log'));
 
-const until = async (isSo: () => boolean, what: string): Promise<void> => {
-  for (const began = performance.now(); !isSo(); await new Promise((resolve) => setImmediate(resolve)))
+const waitUntil = async (condition: () => boolean, what: string): Promise<void> => {
+  for (const began = performance.now(); !condition(); await new Promise((resolve) => setImmediate(resolve)))
     assert.ok(performance.now() - began < 5000, what);
 };
 
-/** Cores of one process, of which the first `listed` are formed and the others are blank. */
-const group = async (count: number, listed = count) => {
+/**
+ * Cores in one process: the first `listed` are formed, the others are blank. A message is lost if `lost` holds its
+ * direction (`0>1`), or its direction and kind (`0>1 accept`).
+ */
+const makeGroup = async (count: number, listed = count) => {
   const members: Member[] = [];
   const lost = new Set<string>();
   const courier = (from: number, to: number): Courier => ({
@@ -60,10 +66,10 @@
   for (let index = 0; index < count; index += 1) {
     const file = await File.open(join(folder, String(serial++)), 'register.log');
     let isBroken = false;
-    const failing = () => Promise.reject(new Error('the disk fails'));
+    const fail = () => Promise.reject(new Error('the disk fails'));
     const register = await Register.open({
       ...file,
-      append: (payload) => (isBroken ? failing() : file.append(payload)),
+      append: (payload) => (isBroken ? fail() : file.append(payload)),
     });
     const breakFile = () => {
       isBroken = true;
@@ -86,10 +92,10 @@
     inSync: members.slice(0, Math.floor(listed / 2) + 1).map(({ core }) => core.disk),
     cores: members.slice(0, listed).map(({ core }) => core),
   };
-  const asked = members.slice(listed).map((_one, index) => `0>${listed + index}`);
-  for (const way of asked) lost.add(way);
+  const blankDirections = members.slice(listed).map((_one, index) => `0>${listed + index}`);
+  for (const direction of blankDirections) lost.add(direction);
   assert.ok(await members[0]!.proposer.form(() => first, listed));
-  for (const way of asked) lost.delete(way);
+  for (const direction of blankDirections) lost.delete(direction);
   return { members, lost, first };
 };
 
@@ -97,8 +103,8 @@
   after(() => rmSync(folder, { recursive: true, force: true }));
 
   for (const count of [3, 5])
-    it(`tells no term of ${count} cores that only its proposer has accepted`, async () => {
-      const { members, lost, first } = await group(count);
+    it(`reports no term of ${count} cores that only its proposer has accepted`, async () => {
+      const { members, lost, first } = await makeGroup(count);
       const [one, two] = members as [Member, Member];
       for (let to = 1; to < count; to += 1) lost.add(`0>${to} accept`);
       const alone = await one.proposer.change((base) => Term.next(base, { inSync: [one.core.disk] }));
@@ -117,14 +123,14 @@
       assert.deepEqual(found.term?.inSync, first.inSync);
     });
 
-  it('settles a term that a few accepted by writing it back, and then tells it', async () => {
-    const { members, lost } = await group(5);
+  it('writes back a term that only a few cores accepted, and then reports it as chosen', async () => {
+    const { members, lost } = await makeGroup(5);
     const [one, two] = members as [Member, Member];
     for (const to of [2, 3, 4]) lost.add(`0>${to} accept`);
-    const few = await one.proposer.change((base) =>
+    const attempt = await one.proposer.change((base) =>
       Term.next(base, { inSync: [one.core.disk, two.core.disk] }),
     );
-    assert.equal(few.term, undefined);
+    assert.equal(attempt.term, undefined);
     lost.clear();
     const settled = await two.proposer.change(() => undefined);
     assert.deepEqual(settled.term?.inSync, [one.core.disk, two.core.disk]);
@@ -135,10 +141,10 @@
     assert.equal(isEverywhere(), true);
   });
 
-  it('confirms a term only by cores that accepted that very term, not another of its epoch', async () => {
-    const { members, lost } = await group(3);
+  it('confirms a term only by cores that accepted that very term, not another term of the same epoch', async () => {
+    const { members, lost } = await makeGroup(3);
     const [one, two, three] = members as [Member, Member, Member];
-    for (const way of ['0>1', '1>0', '2>1', '1>2 accept']) lost.add(way);
+    for (const direction of ['0>1', '1>0', '2>1', '1>2 accept']) lost.add(direction);
     lost.add('1>0 accept');
     lost.delete('1>0');
     const elsewhere = await two.proposer.change((base) => Term.next(base, { primary: two.core.disk }));
@@ -154,7 +160,7 @@
     assert.equal(await one.proposer.confirm(chosen.term!), false);
   });
 
-  it('keeps the floor that a claim raised through a restart', async () => {
+  it('keeps the floor that a takeover raised across a restart', async () => {
     const data = join(folder, String(serial++));
     const file = await File.open(data, 'register.log');
     const register = await Register.open(file);
@@ -173,14 +179,14 @@
     assert.equal((await openRegister(data)).floor(), 7);
   });
 
-  it('lets no core of before a forming spoil a change after it, however high its ballots are', async () => {
-    const { members, lost } = await group(4, 3);
+  it('lets no core from before a forming undo a change made after it, however high its ballots are', async () => {
+    const { members, lost } = await makeGroup(4, 3);
     const [old, _other, kept, fresh] = members as [Member, Member, Member, Member];
     for (let turn = 0; turn < 4; turn += 1) {
       const { isDone, term } = await old.proposer.change((base) => Term.next(base, {}));
       assert.equal(isDone, true);
       const isThere = () => kept.register.term()?.epoch === term?.epoch;
-      await until(isThere, 'the third core accepts it too');
+      await waitUntil(isThere, 'the third core accepts it too');
     }
     for (const from of [0, 1])
       for (const to of [2, 3]) {
@@ -213,7 +219,7 @@
   });
 
   it('accepts no term of an earlier forming than the one accepted', async () => {
-    const { members, first } = await group(3);
+    const { members, first } = await makeGroup(3);
     const { register } = members[1]!;
     const later = { ...first, epoch: Epoch.of(9), formed: Epoch.of(9) };
     const { disk } = members[0]!.core;
@@ -222,14 +228,14 @@
     assert.equal(register.term()?.formed, 9);
   });
 
-  it('takes no change for done that its own disk does not hold', async () => {
-    const { members, first } = await group(5);
+  it('does not report a change as done unless the proposer’s own disk holds it', async () => {
+    const { members, first } = await makeGroup(5);
     const [one] = members as [Member];
-    const claimed = await one.proposer.change((base) => {
+    const outcome = await one.proposer.change((base) => {
       one.breakFile();
       return Term.next(base, { primary: one.core.disk });
     });
-    assert.deepEqual([claimed.isDone, claimed.term], [false, undefined]);
+    assert.deepEqual([outcome.isDone, outcome.term], [false, undefined]);
     assert.equal(one.register.term()?.epoch, first.epoch);
   });
 });
--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -1,5 +1,7 @@
-// The file under the data folder: what was synced is there again, a torn tail is cut, and damage
-// anywhere before makes the whole folder untrusted instead of half read.
+/**
+ * The files in the data folder: everything that was synced is read back, a torn record at the end is cut off, and damage
+ * anywhere before it makes the whole folder untrusted instead of partly read.
+ */
 import assert from 'node:assert/strict';
 import { mkdtempSync, readdirSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { open as openFile } from 'node:fs/promises';
@@ -20,20 +22,20 @@
   folders.push(folder);
   return folder;
 };
-const fill = async (folder: string, count: number) => {
+const writeRecords = async (folder: string, count: number) => {
   const file = await File.open(folder, 'one.log');
   for (let index = 0; index < count; index += 1) await file.append(Buffer.from(`payload ${index}`));
   await file.close();
   return readFileSync(join(folder, 'one.log'));
 };
-const readAll = async (folder: string) => {
+const readTexts = async (folder: string) => {
   const file = await File.open(folder, 'one.log');
   const texts = file.payloads.map((payload) => payload.toString('utf8'));
   await file.close();
   return texts;
 };
 
-/** Every sync of data fails while the work runs, in this process alone. */
+/** Makes every datasync of this process fail while the work runs. */
 const withFailingSyncs = async (work: () => Promise<void>): Promise<void> => {
   const handle = await openFile(makeFolder(), 'r');
   const methods = Object.getPrototypeOf(handle) as { datasync: () => Promise<void> };
@@ -52,23 +54,23 @@
     for (const folder of folders) rmSync(folder, { recursive: true, force: true });
   });
 
-  it('cuts a torn tail at every length and can be written on', async () => {
-    const whole = await fill(makeFolder(), 3);
+  it('cuts a file torn at any length back to whole records, and appends to it', async () => {
+    const whole = await writeRecords(makeFolder(), 3);
     for (let length = 0; length < whole.length; length += 1) {
       const folder = makeFolder();
       writeFileSync(join(folder, 'one.log'), whole.subarray(0, length));
-      const kept = await readAll(folder);
+      const kept = await readTexts(folder);
       assert.deepEqual(kept, ['payload 0', 'payload 1', 'payload 2'].slice(0, kept.length));
       assert.ok(kept.length < 3);
       const file = await File.open(folder, 'one.log');
       await file.append(Buffer.from('after'));
       await file.close();
-      assert.deepEqual(await readAll(folder), [...kept, 'after']);
+      assert.deepEqual(await readTexts(folder), [...kept, 'after']);
     }
   });
 
-  it('trusts no file that is damaged before its end', async () => {
-    const whole = await fill(makeFolder(), 3);
+  it('does not open a file that is damaged before its last record', async () => {
+    const whole = await writeRecords(makeFolder(), 3);
     const lastRecord = Math.floor((whole.length / 3) * 2);
     for (let place = 0; place < lastRecord; place += 1) {
       const folder = makeFolder();
@@ -79,8 +81,8 @@
     }
   });
 
-  it('cuts a last record of which only some bytes came, be they of its head', async () => {
-    const whole = await fill(makeFolder(), 3);
+  it('cuts off a last record of which only some bytes were written, also in its header', async () => {
+    const whole = await writeRecords(makeFolder(), 3);
     const last = Math.floor((whole.length / 3) * 2);
     for (let from = last; from < whole.length; from += 1)
       for (let until = from + 1; until <= whole.length; until += 5) {
@@ -88,23 +90,23 @@
         const torn = Buffer.from(whole);
         torn.fill(0, from, until);
         writeFileSync(join(folder, 'one.log'), torn);
-        const kept = await readAll(folder);
+        const kept = await readTexts(folder);
         assert.deepEqual(kept.slice(0, 2), ['payload 0', 'payload 1'], `bytes ${from} to ${until} missing`);
         assert.ok(kept.length === 2 || torn.equals(whole));
       }
   });
 
-  it('rewrites to what is given and keeps it', async () => {
+  it('replaces the content by a rewrite, and keeps it', async () => {
     const folder = makeFolder();
-    await fill(folder, 50);
+    await writeRecords(folder, 50);
     const file = await File.open(folder, 'one.log');
     await file.rewrite([Buffer.from('all of it')]);
     await file.append(Buffer.from('and more'));
     await file.close();
-    assert.deepEqual(await readAll(folder), ['all of it', 'and more']);
+    assert.deepEqual(await readTexts(folder), ['all of it', 'and more']);
   });
 
-  it('keeps the words of the newest two manifests, and fewer manifests when they are long', async () => {
+  it('keeps the source of the newest two manifests, and fewer manifests when they are long', async () => {
     const folder = makeFolder();
     const store = await Store.open(folder);
     const put = (revision: number, note: string) => {
@@ -132,7 +134,7 @@
     assert.ok(readFileSync(join(folder, 'state.log')).length < 100_000);
   });
 
-  it('sets a damaged data folder aside and begins blank under a new disk name', async () => {
+  it('sets a damaged data folder aside and starts blank under a new disk id', async () => {
     const folder = makeFolder();
     const first = await Folder.open(folder, () => {});
     for (let revision = 1; revision <= 3; revision += 1)
@@ -155,7 +157,7 @@
     await blank.store.close();
   });
 
-  it('writes no secret in plain under a key file, also when it mends its file after a failed write', async () => {
+  it('writes no secret in plaintext with a key file, also when it recovers after a failed write', async () => {
     const folder = makeFolder();
     const seal = Seal.of(Buffer.alloc(32, 7));
     const store = await Store.open(folder, seal);
@@ -179,10 +181,10 @@
     assert.equal(store.isHealthy(), false);
     await store.recover();
     assert.equal(store.isHealthy(), true);
-    const isPlain = (name: string) => readFileSync(join(folder, name)).includes(secret);
-    assert.deepEqual(readdirSync(folder).filter(isPlain), []);
+    const holdsSecret = (name: string) => readFileSync(join(folder, name)).includes(secret);
+    assert.deepEqual(readdirSync(folder).filter(holdsSecret), []);
     await put(2);
-    assert.deepEqual(readdirSync(folder).filter(isPlain), []);
+    assert.deepEqual(readdirSync(folder).filter(holdsSecret), []);
     const held = store.state();
     await store.close();
     const again = await Store.open(folder, seal);
@@ -190,18 +192,18 @@
     await again.close();
   });
 
-  it('seals a file that it finds in plain when it is opened under a key file', async () => {
+  it('seals a plaintext file when it is opened with a key file', async () => {
     const folder = makeFolder();
-    const mark = 'in plain '.repeat(4);
+    const marker = 'in plain '.repeat(4);
     const plain = await Store.open(folder);
-    const document = { zones: {}, groups: {}, homes: {}, teams: {}, rules: [], note: mark };
+    const document = { zones: {}, groups: {}, homes: {}, teams: {}, rules: [], note: marker };
     const stamp = Stamp.of(1, 1);
     await plain.apply({ kind: 'manifest', stamp, document, by: '', at: '', what: '', teams: [] });
     await plain.close();
-    const isPlain = () => readFileSync(join(folder, 'state.log')).includes(mark);
-    assert.equal(isPlain(), true);
+    const isPlaintext = () => readFileSync(join(folder, 'state.log')).includes(marker);
+    assert.equal(isPlaintext(), true);
     const store = await Store.open(folder, Seal.of(Buffer.alloc(32, 7)));
-    assert.equal(isPlain(), false);
+    assert.equal(isPlaintext(), false);
     assert.deepEqual(store.state(), plain.state());
     await store.close();
   });
