--- a/src/epoch/proposer.ts
+++ b/src/epoch/proposer.ts
@@ -12,9 +12,9 @@
  */
 
 import { Ballot } from './ballot.js';
-import { Exchange } from './exchange.js';
 import { Term } from './term.js';
 import { Vote } from './vote.js';
+import { VoteCollector } from './vote-collector.js';
 
 /** Reads and changes the register on behalf of one core. */
 export type Proposer = {
@@ -37,13 +37,13 @@
 
 export declare namespace Proposer {
   type Vote = import('./vote.js').Vote;
-  type Needs = Exchange.Needs;
+  type Needs = VoteCollector.Needs;
   /** The term that is known to be chosen, if any, and whether it is the one that was wanted. */
   type Outcome = { readonly isDone: boolean; readonly term: Term | undefined; readonly ballot: Ballot };
 }
 
 /** The chosen term: the newest accepted one, if a majority has accepted it under the very same ballot. */
-const read = async (exchange: Exchange): Promise<Term | undefined> => {
+const read = async (exchange: VoteCollector): Promise<Term | undefined> => {
   const votes = Vote.remembering(await exchange.peek());
   const newest = Vote.newest(votes);
   if (!newest?.term || !newest.accepted) return undefined;
@@ -61,7 +61,7 @@
  * count only for the identical term: two terms of one epoch can be accepted at the same time on different cores under
  * different ballots, and only one of them is chosen. A vote that names a later forming ends the count.
  */
-const confirm = (needs: Proposer.Needs, exchange: Exchange, term: Term): Promise<boolean> =>
+const confirm = (needs: Proposer.Needs, exchange: VoteCollector, term: Term): Promise<boolean> =>
   new Promise((resolve) => {
     const agreeing = new Set<string>();
     const countVote = ({ core, term: voted }: Vote) => {
@@ -71,7 +71,7 @@
       if (agreeing.size >= Term.majority(term)) resolve(true);
     };
     const requests = needs.couriers().map(async (courier) => {
-      const reply = await courier.ask({ kind: 'peek' }, Exchange.answerTimeoutMs);
+      const reply = await courier.ask({ kind: 'peek' }, VoteCollector.answerTimeoutMs);
       if (reply.kind === 'vote') countVote(reply);
     });
     countVote(exchange.vote(true));
@@ -81,7 +81,7 @@
 type Prepared = { readonly ballot: Ballot; readonly base: Term | undefined };
 
 /** The first phase: a new ballot, and the newest accepted term if a majority of its cores promised the ballot. */
-const prepare = async (exchange: Exchange): Promise<Prepared> => {
+const prepare = async (exchange: VoteCollector): Promise<Prepared> => {
   const ballot = exchange.nextBallot();
   const grants = Vote.granted(await exchange.prepare(ballot, false));
   const base = Vote.newest(grants)?.term;
@@ -89,7 +89,7 @@
 };
 
 const change = async (
-  exchange: Exchange,
+  exchange: VoteCollector,
   next: (term: Term) => Term | undefined,
 ): Promise<Proposer.Outcome> => {
   let { ballot, base } = await prepare(exchange);
@@ -103,7 +103,7 @@
 };
 
 const form = async (
-  exchange: Exchange,
+  exchange: VoteCollector,
   makeTerm: (votes: readonly Vote[]) => Term | undefined,
   minimumGrants: number,
 ): Promise<Term | undefined> => {
@@ -122,7 +122,7 @@
 /** Creates proposers. */
 export const Proposer = {
   of(needs: Proposer.Needs): Proposer {
-    const exchange = Exchange.of(needs);
+    const exchange = VoteCollector.of(needs);
     return {
       vote: exchange.vote,
       votes: exchange.peek,
--- a/src/epoch/exchange.ts
+++ b/src/epoch/vote-collector.ts
@@ -14,7 +14,7 @@
 import { Vote } from './vote.js';
 
 /** Sends register requests to all cores and collects their votes. */
-export type Exchange = {
+export type VoteCollector = {
   /** This core's own vote. */
   readonly vote: (isGranted: boolean) => Vote;
   readonly peek: () => Promise<readonly Vote[]>;
@@ -32,7 +32,7 @@
   readonly highestRound: () => number;
 };
 
-export declare namespace Exchange {
+export declare namespace VoteCollector {
   /** What an exchange uses of its core. */
   type Needs = {
     readonly register: Register;
@@ -84,9 +84,9 @@
 };
 
 /** Creates exchanges. */
-export const Exchange = {
+export const VoteCollector = {
   answerTimeoutMs,
-  of(needs: Exchange.Needs): Exchange {
+  of(needs: VoteCollector.Needs): VoteCollector {
     const { register } = needs;
     let highestRound = 0;
     const onVote = (vote: Vote) => {
--- a/tools/simulation/plant-list.ts
+++ b/tools/simulation/plant-list.ts
@@ -29,7 +29,7 @@
       'return Term.compare(a.term, a.accepted ?? Ballot.none, b.term, b.accepted ?? Ballot.none);',
       'void Ballot; return a.term.epoch - b.term.epoch;',
     ]),
-    plant('the register changed without a majority', 'epoch/exchange.ts', [
+    plant('the register changed without a majority', 'epoch/vote-collector.ts', [
       'return Vote.isMajority(grants, before) && Vote.isMajority(grants, term);',
       'return grants.length > 0;',
     ]),
