--- a/src/epoch/proposer.ts
+++ b/src/epoch/proposer.ts
@@ -43,8 +43,8 @@
 }
 
 /** The chosen term: the newest accepted one, if a majority has accepted it under the very same ballot. */
-const read = async (exchange: VoteCollector): Promise<Term | undefined> => {
-  const votes = Vote.remembering(await exchange.peek());
+const read = async (collector: VoteCollector): Promise<Term | undefined> => {
+  const votes = Vote.remembering(await collector.peek());
   const newest = Vote.newest(votes);
   if (!newest?.term || !newest.accepted) return undefined;
   const { accepted } = newest;
@@ -61,7 +61,7 @@
  * count only for the identical term: two terms of one epoch can be accepted at the same time on different cores under
  * different ballots, and only one of them is chosen. A vote that names a later forming ends the count.
  */
-const confirm = (needs: Proposer.Needs, exchange: VoteCollector, term: Term): Promise<boolean> =>
+const confirm = (needs: Proposer.Needs, collector: VoteCollector, term: Term): Promise<boolean> =>
   new Promise((resolve) => {
     const agreeing = new Set<string>();
     const countVote = ({ core, term: voted }: Vote) => {
@@ -74,46 +74,46 @@
       const reply = await courier.ask({ kind: 'peek' }, VoteCollector.answerTimeoutMs);
       if (reply.kind === 'vote') countVote(reply);
     });
-    countVote(exchange.vote(true));
+    countVote(collector.vote(true));
     void Promise.allSettled(requests).then(() => resolve(false));
   });
 
 type Prepared = { readonly ballot: Ballot; readonly base: Term | undefined };
 
 /** The first phase: a new ballot, and the newest accepted term if a majority of its cores promised the ballot. */
-const prepare = async (exchange: VoteCollector): Promise<Prepared> => {
-  const ballot = exchange.nextBallot();
-  const grants = Vote.granted(await exchange.prepare(ballot, false));
+const prepare = async (collector: VoteCollector): Promise<Prepared> => {
+  const ballot = collector.nextBallot();
+  const grants = Vote.granted(await collector.prepare(ballot, false));
   const base = Vote.newest(grants)?.term;
   return { ballot, base: base && Vote.isMajority(grants, base) ? base : undefined };
 };
 
 const change = async (
-  exchange: VoteCollector,
+  collector: VoteCollector,
   next: (term: Term) => Term | undefined,
 ): Promise<Proposer.Outcome> => {
-  let { ballot, base } = await prepare(exchange);
+  let { ballot, base } = await prepare(collector);
   // A refusal that names a higher round allows one more attempt above it.
-  if (!base && exchange.highestRound() >= ballot.round) ({ ballot, base } = await prepare(exchange));
+  if (!base && collector.highestRound() >= ballot.round) ({ ballot, base } = await prepare(collector));
   if (!base) return { isDone: false, term: undefined, ballot };
   const wanted = next(base);
   const value = wanted ?? base;
-  const isChosen = exchange.isChosen(await exchange.accept(ballot, value, base), base, value);
+  const isChosen = collector.isChosen(await collector.accept(ballot, value, base), base, value);
   return { isDone: isChosen && wanted !== undefined, term: isChosen ? value : undefined, ballot };
 };
 
 const form = async (
-  exchange: VoteCollector,
+  collector: VoteCollector,
   makeTerm: (votes: readonly Vote[]) => Term | undefined,
   minimumGrants: number,
 ): Promise<Term | undefined> => {
-  await exchange.peek();
-  const ballot = exchange.nextBallot();
-  const grants = Vote.granted(await exchange.prepare(ballot, true));
+  await collector.peek();
+  const ballot = collector.nextBallot();
+  const grants = Vote.granted(await collector.prepare(ballot, true));
   if (grants.length < minimumGrants) return undefined;
   const wanted = makeTerm(grants);
   if (!wanted) return undefined;
-  const accepts = Vote.granted(await exchange.accept(ballot, wanted));
+  const accepts = Vote.granted(await collector.accept(ballot, wanted));
   const required = wanted.cores.filter((core) => grants.some((one) => one.core.disk === core.disk));
   const isAcceptedByAll = required.every((core) => accepts.some((one) => one.core.disk === core.disk));
   return isAcceptedByAll ? wanted : undefined;
@@ -122,16 +122,16 @@
 /** Creates proposers. */
 export const Proposer = {
   of(needs: Proposer.Needs): Proposer {
-    const exchange = VoteCollector.of(needs);
+    const collector = VoteCollector.of(needs);
     return {
-      vote: exchange.vote,
-      votes: exchange.peek,
-      read: () => read(exchange),
-      confirm: (term) => confirm(needs, exchange, term),
-      change: (next) => change(exchange, next),
-      form: (makeTerm, minimumGrants) => form(exchange, makeTerm, minimumGrants),
+      vote: collector.vote,
+      votes: collector.peek,
+      read: () => read(collector),
+      confirm: (term) => confirm(needs, collector, term),
+      change: (next) => change(collector, next),
+      form: (makeTerm, minimumGrants) => form(collector, makeTerm, minimumGrants),
       async install(chosen, ballot) {
-        await exchange.accept(ballot, chosen);
+        await collector.accept(ballot, chosen);
       },
     };
   },
--- a/src/epoch/vote-collector.ts
+++ b/src/epoch/vote-collector.ts
@@ -33,7 +33,7 @@
 };
 
 export declare namespace VoteCollector {
-  /** What an exchange uses of its core. */
+  /** What a collector uses of its core. */
   type Needs = {
     readonly register: Register;
     readonly couriers: () => readonly Courier[];
@@ -83,7 +83,7 @@
   return Vote.distinct(votes);
 };
 
-/** Creates exchanges. */
+/** Creates vote collectors. */
 export const VoteCollector = {
   answerTimeoutMs,
   of(needs: VoteCollector.Needs): VoteCollector {
