--- a/src/store/orders.ts
+++ b/src/store/orders.ts
@@ -91,11 +91,11 @@
  * many entries that version removed. This includes entries written between changes of this version during a rolling
  * upgrade.
  */
-const upgrade = (held: Orders.Earlier, newest: Orders.Newest | undefined): Orders => {
-  const { numbers = [], answers, horizon = empty.horizon } = held;
+const upgrade = (stored: Orders.Earlier, newest: Orders.Newest | undefined): Orders => {
+  const { numbers = [], answers, horizon = empty.horizon } = stored;
   const earlierAnswers = answers.filter(isEarlier);
   let orders: Orders = { numbers, answers: answers.filter((one) => !isEarlier(one)), horizon };
-  if (held.numbers && earlierAnswers.length === 0) return orders;
+  if (stored.numbers && earlierAnswers.length === 0) return orders;
   for (const answer of earlierAnswers) {
     const number = numberedKey.exec(answer.key)?.[1];
     orders =
@@ -111,8 +111,8 @@
 const numberStatus = (orders: Orders, number: number, digest: string): Orders.NumberStatus => {
   const shortened = shortDigest(digest);
   if (orders.numbers.some((one) => isSame(one, number, shortened))) return 'taken';
-  const isOther = orders.numbers.some((one) => one.number === number);
-  return isOther || number > orders.horizon.number ? 'new' : 'missing';
+  const hasOtherContent = orders.numbers.some((one) => one.number === number);
+  return hasOtherContent || number > orders.horizon.number ? 'new' : 'missing';
 };
 
 /** The revision of the order taken with a key, and whether that order has the same digest. */
