--- a/src/store/manifests.ts
+++ b/src/store/manifests.ts
@@ -26,7 +26,7 @@
 }
 
 const maxManifests = 32;
-const manifestsWithSource = 2;
+const maxWithSource = 2;
 /** Limit on the older manifests together, in characters of JSON. */
 const maxOlderLength = 2 * 1024 * 1024;
 
@@ -104,7 +104,7 @@
 const prune = (all: Manifests): Manifests => {
   const manifests = all.slice(-maxManifests);
   let length = 0;
-  for (let index = manifests.length - manifestsWithSource - 1; index >= 0; index -= 1) {
+  for (let index = manifests.length - maxWithSource - 1; index >= 0; index -= 1) {
     const manifest = shrink(manifests[index]!);
     length += manifest.length!;
     if (length > maxOlderLength) return manifests.slice(index + 1);
@@ -121,7 +121,5 @@
   pack: (manifest: State.Manifest): Manifests.Packed => packedManifests.get(manifest) ?? pack(manifest),
   /** A list from packed manifests: the newest are decoded at once, the older ones on access. */
   unpack: (all: readonly Manifests.Packed[]): Manifests =>
-    all.map((packed, index) =>
-      index < all.length - manifestsWithSource ? lazyManifest(packed) : unpack(packed),
-    ),
+    all.map((packed, index) => (index < all.length - maxWithSource ? lazyManifest(packed) : unpack(packed))),
 };
