--- a/src/replica/acknowledgement.ts
+++ b/src/replica/acknowledgement.ts
@@ -55,7 +55,7 @@
         const before = store.state();
         const next = State.apply(before, change);
         const local = withTimeout(
-          store.take(change, before.stamp),
+          store.apply(change, before.stamp),
           localWriteTimeoutMs,
           'local disk write',
         ).catch(stepDown);
--- a/src/replica/backup.ts
+++ b/src/replica/backup.ts
@@ -52,7 +52,7 @@
       if (isBelow(epoch)) return belowPromise;
       if (register.isBlank()) return 'this core is blank';
       if (isLeading()) return 'this core leads';
-      register.raise(epoch);
+      register.raiseFloor(epoch);
       return undefined;
     },
     /** The reason why a write that has been synced may no longer be confirmed, if any. */
@@ -71,7 +71,7 @@
     async write(change: State.Change, previous?: Stamp): Promise<string | undefined> {
       activeWrites += 1;
       try {
-        await store.take(change, previous);
+        await store.apply(change, previous);
         return undefined;
       } catch (error) {
         return Failure.text(error);
--- a/src/replica/maintenance.ts
+++ b/src/replica/maintenance.ts
@@ -42,7 +42,7 @@
     return {
       async run(turns, isOpen) {
         if (!leadership.isLeading()) return;
-        if (!store.isSound())
+        if (!store.isHealthy())
           await turns.runExclusive(() => stepDown(new Error('the store is broken'))).catch(() => {});
         if (!isOpen || !needsReplacement() || !others().some(isAvailableSpare)) return;
         await turns.runExclusive(async () => {
--- a/test/replica-kit.ts
+++ b/test/replica-kit.ts
@@ -151,13 +151,13 @@
   const turns = Mutex.of();
   return {
     state: () => disk.state,
-    isSound: () => true,
+    isHealthy: () => true,
     isCompacting: () => false,
     compacted: async () => {},
     idle: () => turns.runExclusive(async () => {}),
-    mend: async () => {},
+    recover: async () => {},
     close: () => file.close(),
-    take: (change, previous) =>
+    apply: (change, previous) =>
       turns.runExclusive(async () => {
         await beforeWrite();
         if (previous && !Stamp.isSame(previous, disk.state.stamp)) throw new Error('another state is held');
@@ -213,7 +213,7 @@
         })),
       core: self,
       highest: () => Epoch.none,
-      isAble: store.isSound,
+      isAble: store.isHealthy,
       held: () => store.state().stamp,
     });
     return { register, store, backup, proposer };
--- a/tools/simulation/plant-list.ts
+++ b/tools/simulation/plant-list.ts
@@ -29,7 +29,7 @@
       'return Term.compare(a.term, a.accepted ?? Ballot.none, b.term, b.accepted ?? Ballot.none);',
       'void Ballot; return a.term.epoch - b.term.epoch;',
     ]),
-    plant('the register changed without a majority', 'epoch/exchange.ts', [
+    plant('the register changed without a majority', 'epoch/vote-collector.ts', [
       'return Vote.isMajority(grants, before) && Vote.isMajority(grants, term);',
       'return grants.length > 0;',
     ]),
@@ -40,18 +40,18 @@
     plant(
       'an empty disk that votes',
       'epoch/acceptor.ts',
-      ['if (kept.term === null && !isForming) return undefined;', ''],
-      ['if (kept.term === null && !isChosen) return undefined;', ''],
+      ['if (state.term === null && !isForming) return undefined;', ''],
+      ['if (state.term === null && !isChosen) return undefined;', ''],
     ),
     plant(
       'a floor that is not raised',
       'epoch/acceptor.ts',
-      ['(epoch > kept.floor ? { ...kept, floor: epoch } : kept)', '(void epoch, kept)'],
-      ['Epoch.of(Math.max(term.epoch, kept.floor))', 'Epoch.of(0 * Math.max(term.epoch, kept.floor))'],
+      ['epoch > state.floor ? { ...state, floor: epoch } : state', '(void epoch, state)'],
+      ['Epoch.of(Math.max(term.epoch, state.floor))', 'Epoch.of(0 * Math.max(term.epoch, state.floor))'],
     ),
     plant('a backup that answers before its sync', 'replica/backup.ts', [
-      'await store.take(change, previous);',
-      'void store.take(change, previous).catch(() => {});',
+      'await store.apply(change, previous);',
+      'void store.apply(change, previous).catch(() => {});',
     ]),
     plant(
       'late whole states are taken',
@@ -97,7 +97,7 @@
       'a core that is not in sync takes over',
       'control/life/following.ts',
       [
-        'if (!term || !Term.isInSync(term, register.disk) || !store.isSound() || life.isLeaving) return;',
+        'if (!term || !Term.isInSync(term, register.disk) || !store.isHealthy() || life.isLeaving) return;',
         'if (!term || life.isLeaving) return;',
       ],
       ['Term.isSame(base, from) && Term.isInSync(base, register.disk)', 'Term.isSame(base, from)'],
@@ -117,8 +117,8 @@
       ['if (base !== current)\n', 'if (number < 0)\n'],
     ),
     plant('the tail after a snapshot is left out', 'store/store.ts', [
-      'for (const payload of file.payloads) replay.take',
-      'for (const payload of file.payloads.slice(0, Math.max(1, file.payloads.length - 1))) replay.take',
+      'for (const payload of file.payloads) replay.add',
+      'for (const payload of file.payloads.slice(0, Math.max(1, file.payloads.length - 1))) replay.add',
     ]),
     plant('a record that is not synced', 'store/file.ts', ['await this.#handle.datasync();', '']),
     plant('a rewritten file that is not made lasting', 'store/file.ts', [
