--- a/src/agent/program.ts
+++ b/src/agent/program.ts
@@ -6,12 +6,12 @@
 import type { LogBuffer } from '../log/log-buffer.js';
 import { Children } from '../membership/children.js';
 import { Downlink } from '../membership/downlink.js';
-import { Roll } from '../membership/roll.js';
+import { MemberTable } from '../membership/member-table.js';
 import { Roster } from '../membership/roster.js';
-import { Turns } from '../membership/turns.js';
+import { TransferQueue } from '../membership/transfer-queue.js';
 import { Uplink } from '../membership/uplink.js';
 import { Feed } from '../news/feed.js';
-import { Voucher } from '../news/voucher.js';
+import { ViewConfirmation } from '../news/view-confirmation.js';
 import { Metrics } from '../startup/metrics.js';
 import { Ops } from '../startup/ops.js';
 import type { Program } from '../startup/program.js';
@@ -33,13 +33,13 @@
 export const Agent: Agent = {
   async start(startup, ring) {
     const feed = Feed.of();
-    const voucher = Voucher.of(feed, () => ring.info('vouched for', { stamp: feed.stamp() }));
+    const voucher = ViewConfirmation.of(feed, () => ring.info('vouched for', { stamp: feed.stamp() }));
     const boot = Id.boot();
     let wire = '';
     let depth = 1;
     let opsText = '';
     let isDraining = false;
-    const roll: Roll = Roll.of(() => ({
+    const roll: MemberTable = MemberTable.of(() => ({
       node: startup.node,
       program: 'agent',
       zone: startup.zone,
@@ -50,21 +50,21 @@
       ops: opsText,
       depth,
       ready: !isDraining,
-      vouched: voucher.isVouched(),
+      vouched: voucher.isConfirmed(),
     }));
-    const peers = () => uplink.places();
+    const peers = () => uplink.candidates();
     const children = Children.of(roll);
-    const turns = Turns.of();
+    const turns = TransferQueue.of();
     const roster = Roster.of();
     const serve: LinkServer.Options['serve'] = (link, hello, frames) =>
       Downlink.serve(link, hello, frames, {
         feed,
-        roll,
+        members: roll,
         children,
         peers,
         relays: () => [],
         isRelay: () => false,
-        turns,
+        transfers: turns,
         roster,
         onCold: ({ stamp: _stamp, ...body }) => void uplink.send(body),
         onFailures: (failed) => void uplink.send({ kind: 'failures', failed }),
@@ -76,7 +76,7 @@
     const doorway = await LinkServer.open({ ...terms, address: Address.checked(startup.wire) });
     wire = LinkServer.text(doorway);
     const serveProxy: LinkServer.Options['serve'] = (link, hello, frames) => {
-      if (hello.self.vouched) voucher.promise(hello.stamp);
+      if (hello.self.vouched) voucher.confirmFrom(hello.stamp);
       return serve(link, hello, frames);
     };
     const inner =
@@ -86,12 +86,12 @@
     const joined = new Set<Link>();
     const uplink: Uplink = Uplink.run({
       feed,
-      roll,
+      members: roll,
       seeds: startup.seeds,
       version: Version,
-      isUpward: true,
-      onWord() {
-        voucher.look();
+      reportsMembers: true,
+      onPing() {
+        voucher.check();
         for (const link of joined) link.send({ kind: 'ping', age: feed.age() });
       },
       onRoster: roster.set,
@@ -116,7 +116,7 @@
       () => doorway.refusedCount() + (inner?.refusedCount() ?? 0),
     );
     gauge('frames_unknown', 'frames dropped since their kind is not known here', Frame.unknownCount);
-    gauge('news_dropped', 'news dropped as not newer', feed.ignored);
+    gauge('news_dropped', 'news dropped as not newer', feed.ignoredCount);
     const ops = Ops.of({
       isReady: () => (isDraining ? 'draining' : undefined),
       metrics,
--- a/src/control/http.ts
+++ b/src/control/http.ts
@@ -8,7 +8,7 @@
 import { bodyLimit } from 'hono/body-limit';
 import { Revision } from '../common/revision.js';
 import { Check } from '../manifest/check.js';
-import type { Roll } from '../membership/roll.js';
+import type { MemberTable } from '../membership/member-table.js';
 import type { Startup } from '../startup/startup.js';
 import type { Adapter } from './adapter.js';
 import { AtPrimary } from './at-primary.js';
@@ -34,7 +34,7 @@
     readonly startup: Startup['control'];
     readonly office: Office;
     readonly core: Core;
-    readonly roll: Roll;
+    readonly roll: MemberTable;
     readonly usage: () => object;
     readonly loads: () => object;
     readonly budget: () => object;
--- a/src/control/peers.ts
+++ b/src/control/peers.ts
@@ -2,7 +2,7 @@
 // for news and the roll. Addresses come from the seeds, from the newest term, and from the peers themselves:
 // a seed may know a core that is no seed.
 import { Address } from '../common/address.js';
-import type { Roll } from '../membership/roll.js';
+import type { MemberTable } from '../membership/member-table.js';
 import { Uplink } from '../membership/uplink.js';
 import type { Feed } from '../news/feed.js';
 import { Version } from '../startup/version.js';
@@ -23,7 +23,7 @@
     readonly own: () => string;
     readonly feed: Feed;
     readonly age: () => number;
-    readonly roll: Roll;
+    readonly roll: MemberTable;
     readonly onTokens: (frame: Extract<Frame, { kind: 'tokens' }>) => void;
     readonly onLoads: (loads: readonly Frame.Load[]) => void;
     readonly onLeaving: (instances: readonly string[]) => void;
@@ -66,11 +66,11 @@
               }),
               uplink: Uplink.run({
                 feed,
-                roll,
+                members: roll,
                 seeds: [place],
                 version: Version,
-                isFixed: true,
-                isUpward: true,
+                hasFixedCandidates: true,
+                reportsMembers: true,
                 onPeers: (peers) => void heard.set(place, peers),
                 onTokens: needs.onTokens,
                 onLoads: needs.onLoads,
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -17,10 +17,10 @@
 import type { LogBuffer } from '../log/log-buffer.js';
 import { Children } from '../membership/children.js';
 import { Downlink } from '../membership/downlink.js';
-import { Places } from '../membership/places.js';
-import { Roll } from '../membership/roll.js';
+import { MemberTable } from '../membership/member-table.js';
+import { ParentCandidates } from '../membership/parent-candidates.js';
 import { Roster } from '../membership/roster.js';
-import { Turns } from '../membership/turns.js';
+import { TransferQueue } from '../membership/transfer-queue.js';
 import { Feed } from '../news/feed.js';
 import { Relays } from '../news/relays.js';
 import { Backup } from '../replica/backup.js';
@@ -75,7 +75,7 @@
     let http = startup.http;
     let core: Core | undefined;
     const self = () => ({ disk: register.disk, node: startup.node, wire, http });
-    const roll: Roll = Roll.of(() => ({
+    const roll: MemberTable = MemberTable.of(() => ({
       node: startup.node,
       program: 'control',
       zone: startup.zone,
@@ -92,7 +92,7 @@
     /** Whether a primary that a majority confirms was heard of just now, here or over the others. */
     const isInTouch = () => age() < freshFor;
     const children = Children.of(roll);
-    const turns = Turns.of();
+    const turns = TransferQueue.of();
     const isBelow = (node: string) => (roll.get(node)?.program ?? 'control') !== 'control';
     const roster = Roster.of();
     const rosters = Timer.every(250, () => {
@@ -173,7 +173,7 @@
       const agents = roll.all().filter((one) => one.program === 'agent' && one.node !== child.node);
       const far = agents.filter((one) => one.zone !== child.zone);
       const near = agents.filter((one) => one.zone === child.zone);
-      const start = Places.hash(child.node) % Math.max(1, far.length);
+      const start = ParentCandidates.hash(child.node) % Math.max(1, far.length);
       return [...near.slice(0, 2), ...far.slice(start), ...far.slice(0, start)]
         .slice(0, nearbyAgents)
         .map((one) => one.wire);
@@ -189,15 +189,15 @@
           ? desk.serve(link, frames)
           : Downlink.serve(link, hello, frames, {
               feed,
-              roll,
+              members: roll,
               children,
               peers: (child) => (child.program === 'control' ? places() : [...places(), ...nearby(child)]),
               relays: (child) => Relays.of(child, roll.all()),
-              isRelay: (child) => child.program === 'control' || Relays.isOne(child, roll.all()),
-              turns,
+              isRelay: (child) => child.program === 'control' || Relays.isRelay(child, roll.all()),
+              transfers: turns,
               version: Version,
               age,
-              isFirstHand: () => core?.leading() !== undefined || feed.age() > freshFor,
+              isViewSource: () => core?.leading() !== undefined || feed.age() > freshFor,
               roster,
               onTokens: ({ stamp: _stamp, ...frame }) => budget.take(frame),
               onCold: ({ stamp: _stamp, ...frame }) => children.broadcast(frame),
@@ -217,7 +217,7 @@
       tend: peers.tend,
       places: controls,
       offered: feed.view,
-      quietFor: roll.quietFor,
+      quietFor: roll.sinceLastJoin,
       retire: () => Folder.retire(startup.data),
       publish(view) {
         if (view.manifest) feed.offer(view);
@@ -233,7 +233,7 @@
     gauge('revision', 'revision of the state held', () => store.state().stamp.revision);
     gauge('leading', 'whether this core is the primary', () => (running.leading() ? 1 : 0));
     gauge('tokens_pooled', 'tokens for extra tries in the pool here', () => budget.pooled() / 1000);
-    gauge('views_waiting', 'children that wait for their turn to get a whole view', turns.waiting);
+    gauge('views_waiting', 'children that wait for their turn to get a whole view', turns.queueLength);
     gauge('members', 'nodes on the roll', () => roll.all().length);
     gauge('servers', 'servers on the list held', () => store.state().platform.servers.length);
     gauge('list_serial', 'serial of the list held', () => store.state().platform.serial);
@@ -249,7 +249,7 @@
     gauge('transfer_bytes_received', 'bytes of snapshots and tails taken in', () => counts().bytesReceived);
     gauge('snapshots_taken', 'snapshots synced here', () => counts().snapshotsTaken);
     gauge('tails_taken', 'tails of changes synced here', () => counts().tailsTaken);
-    gauge('news_dropped', 'news dropped as not newer', feed.ignored);
+    gauge('news_dropped', 'news dropped as not newer', feed.ignoredCount);
     const ops = Ops.of({
       metrics,
       ring,
--- a/src/control/queries/read-directory.ts
+++ b/src/control/queries/read-directory.ts
@@ -1,6 +1,6 @@
 // Where callers of a zone go: the ready proxies nearest to them. Any core tells it from its own roll; one
 // that has just started, or knows no ready proxy, says so instead of sending callers nowhere.
-import type { Roll } from '../../membership/roll.js';
+import type { MemberTable } from '../../membership/member-table.js';
 import { Responses } from '../responses.js';
 
 export type ReadDirectory = { readonly zone: string };
@@ -9,7 +9,7 @@
   type Proxy = { readonly node: string; readonly address: string; readonly zone: string };
   type Found = readonly Proxy[] | undefined;
   type Needs = {
-    readonly roll: Roll;
+    readonly roll: MemberTable;
     readonly knows: () => boolean;
     readonly regionOf: (zone: string) => string | undefined;
   };
--- a/src/control/queries/read-status.ts
+++ b/src/control/queries/read-status.ts
@@ -3,14 +3,14 @@
 import { Stamp } from '../../common/stamp.js';
 import { Term } from '../../epoch/term.js';
 import type { Document } from '../../manifest/document.js';
-import type { Roll } from '../../membership/roll.js';
+import type { MemberTable } from '../../membership/member-table.js';
 import type { Primary } from '../../replica/primary.js';
 import type { Frame } from '../../wire/frame.js';
 import type { Core } from '../core.js';
 import type { Office } from '../office.js';
 import type { Responses } from '../responses.js';
 
-export type ReadStatus = { readonly roll: Roll; readonly core: Core };
+export type ReadStatus = { readonly roll: MemberTable; readonly core: Core };
 
 const describe = ({ node, program, zone, stamp, http, wire, ops, via, age, ready }: Frame.Entry) => ({
   node,
--- a/src/membership/children.ts
+++ b/src/membership/children.ts
@@ -2,7 +2,7 @@
 // roll says it was told through.
 import type { Frame } from '../wire/frame.js';
 import type { Link } from '../wire/link.js';
-import type { Roll } from './roll.js';
+import type { MemberTable } from './member-table.js';
 
 export type Children = {
   readonly add: (node: string, link: Link) => void;
@@ -13,7 +13,7 @@
 };
 
 export const Children = {
-  of(roll: Roll): Children {
+  of(roll: MemberTable): Children {
     const links = new Map<string, Link>();
     return {
       add: (node, link) => void links.set(node, link),
--- a/src/membership/downlink.ts
+++ b/src/membership/downlink.ts
@@ -8,33 +8,33 @@
 import { Stamp } from '../common/stamp.js';
 import { Timer } from '../common/timer.js';
 import type { Feed } from '../news/feed.js';
-import { Copies } from '../repair/copies.js';
+import { ViewCache } from '../repair/view-cache.js';
 import type { Frame } from '../wire/frame.js';
 import type { Link } from '../wire/link.js';
 import { Protocol } from '../wire/protocol.js';
 import type { Children } from './children.js';
-import { Dispatch } from './dispatch.js';
-import type { Roll } from './roll.js';
+import type { MemberTable } from './member-table.js';
 import { Roster } from './roster.js';
-import type { Turns } from './turns.js';
+import type { TransferQueue } from './transfer-queue.js';
+import { ViewSender } from './view-sender.js';
 
 export type Downlink = { readonly node: string };
 
 export declare namespace Downlink {
-  type Needs = {
+  type Options = {
     readonly feed: Feed;
-    readonly roll: Roll;
+    readonly members: MemberTable;
     readonly peers: (child: Frame.Entry) => readonly string[];
     readonly relays: (child: Frame.Entry) => readonly string[];
     readonly isRelay: (child: Frame.Entry) => boolean;
-    readonly turns: Turns;
+    readonly transfers: TransferQueue;
     readonly version: string;
     readonly age: () => number;
     readonly children: Children;
     readonly onTokens: (frame: Extract<Frame, { kind: 'tokens' }>) => void;
     readonly onCold: (frame: Extract<Frame, { kind: 'cold' }>) => void;
     readonly roster: Roster;
-    readonly isFirstHand?: () => boolean;
+    readonly isViewSource?: () => boolean;
     readonly onFailures?: (failed: readonly Frame.Failed[]) => void;
   };
 }
@@ -46,17 +46,17 @@
     link: Link,
     hello: Extract<Frame, { kind: 'hello' }>,
     frames: AsyncGenerator<Frame, void, void>,
-    needs: Downlink.Needs,
+    needs: Downlink.Options,
   ): Promise<void> {
-    const { feed, roll } = needs;
+    const { feed, members: roll } = needs;
     const node = hello.self.node;
     const isPeer = hello.self.program === 'control';
     const isSame = Stamp.isSame(hello.self.stamp, feed.stamp());
     const protocol = Protocol.negotiate(hello.protocol);
-    const dispatch = Dispatch.of({
+    const dispatch = ViewSender.of({
       link,
       feed,
-      turns: needs.turns,
+      transfers: needs.transfers,
       protocol,
       isFirst: () => needs.isRelay(hello.self),
       isSame,
@@ -64,13 +64,13 @@
     });
     const sendWord = () => link.send({ kind: 'ping', age: needs.age() });
     const passOn = () => {
-      if (!isPeer || !needs.isFirstHand || needs.isFirstHand()) dispatch.send();
+      if (!isPeer || !needs.isViewSource || needs.isViewSource()) dispatch.send();
       else sendWord();
     };
     const compare = (theirs: Stamp) => {
-      if (Stamp.isNewer(theirs, feed.stamp()) && needs.turns.mayAsk(theirs))
+      if (Stamp.isNewer(theirs, feed.stamp()) && needs.transfers.mayRequest(theirs))
         link.send({ kind: 'ask', digests: [] });
-      dispatch.holds(theirs);
+      dispatch.markHeld(theirs);
     };
     let told = '';
     const peersNow = () => {
@@ -95,7 +95,7 @@
     };
     const unwatch = [
       feed.watch(passOn),
-      feed.watchWord(sendWord),
+      feed.watchConfirmed(sendWord),
       isPeer ? () => {} : needs.roster.watch(rosterChanged),
     ];
     needs.children.add(node, link);
@@ -105,7 +105,7 @@
       tellPeers();
     });
     try {
-      roll.note([hello.self], node, !isPeer);
+      roll.update([hello.self], node, !isPeer);
       link.send({
         kind: 'welcome',
         self: roll.self(),
@@ -127,19 +127,19 @@
           .with({ kind: 'roll' }, ({ entries, whole, departed, stamp }) => {
             compare(stamp);
             if (whole) roll.replace(entries, node, !isPeer);
-            else roll.note(entries, node, !isPeer);
-            roll.strike(departed, node);
+            else roll.update(entries, node, !isPeer);
+            roll.markDeparted(departed, node);
           })
           .with({ kind: 'heartbeat' }, (heartbeat) => {
             compare(heartbeat.stamp);
-            if (!roll.confirm(heartbeat, node)) link.send({ kind: 'inquire', what: 'roll' });
+            if (!roll.applyHeartbeat(heartbeat, node)) link.send({ kind: 'inquire', what: 'roll' });
           })
           .with({ kind: 'inquire' }, ({ what }) => {
             if (what === 'roster') rosterWhole();
           })
-          .with({ kind: 'ask' }, ({ digests }) => dispatch.answer(digests))
+          .with({ kind: 'ask' }, ({ digests }) => dispatch.handleRequest(digests))
           .with({ kind: 'news' }, (news) => {
-            feed.offer(Copies.read(news));
+            feed.offer(ViewCache.decodeView(news));
           })
           .with({ kind: 'tokens' }, needs.onTokens)
           .with({ kind: 'failures' }, ({ failed }) => needs.onFailures?.(failed))
@@ -152,7 +152,7 @@
       for (const end of unwatch) end();
       looks.stop();
       needs.children.remove(node, link);
-      roll.forget(node);
+      roll.removeVia(node);
     }
   },
 };
--- a/src/membership/roll.ts
+++ b/src/membership/member-table.ts
@@ -7,23 +7,23 @@
 import { Instant } from '../common/instant.js';
 import type { Frame } from '../wire/frame.js';
 
-export type Roll = {
+export type MemberTable = {
   readonly self: () => Frame.Entry;
-  readonly note: (entries: readonly Frame.Entry[], via: string, isBelow: boolean) => void;
+  readonly update: (entries: readonly Frame.Entry[], via: string, isBelow: boolean) => void;
   readonly replace: (entries: readonly Frame.Entry[], via: string, isBelow: boolean) => void;
-  readonly strike: (nodes: readonly string[], via: string) => void;
-  readonly forget: (via: string) => void;
-  readonly heartbeat: () => Roll.Heartbeat;
-  readonly confirm: (heartbeat: Roll.Heartbeat, via: string) => boolean;
+  readonly markDeparted: (nodes: readonly string[], via: string) => void;
+  readonly removeVia: (via: string) => void;
+  readonly heartbeat: () => MemberTable.Heartbeat;
+  readonly applyHeartbeat: (heartbeat: MemberTable.Heartbeat, via: string) => boolean;
   readonly digestOf: (entry: Frame.Entry) => string;
-  readonly below: () => readonly Frame.Entry[];
+  readonly descendants: () => readonly Frame.Entry[];
   readonly all: () => readonly Frame.Entry[];
   readonly get: (node: string) => Frame.Entry | undefined;
-  readonly quietFor: () => number;
+  readonly sinceLastJoin: () => number;
   readonly watch: (see: (changed: readonly string[]) => void) => () => void;
 };
 
-export declare namespace Roll {
+export declare namespace MemberTable {
   type Heartbeat = {
     readonly count: number;
     readonly digest: string;
@@ -39,7 +39,7 @@
   isListed: boolean;
 };
 
-const staleAfter = 4000;
+const expiryTimeoutMs = 4000;
 const freshFor = 2000;
 const movesWithin = 2000;
 
@@ -65,9 +65,9 @@
 const together = (digests: readonly bigint[]): string =>
   digests.reduce((sum, one) => sum ^ one, 0n).toString(16);
 
-export const Roll = {
-  staleAfter,
-  of(describe: () => Omit<Frame.Entry, 'counter' | 'age' | 'via'>): Roll {
+export const MemberTable = {
+  expiryMs: expiryTimeoutMs,
+  of(describe: () => Omit<Frame.Entry, 'counter' | 'age' | 'via'>): MemberTable {
     const held = new Map<string, Held>();
     const watchers = new Set<(changed: readonly string[]) => void>();
     let counter = 0;
@@ -83,8 +83,8 @@
     };
     const expire = () => {
       for (const one of held.values())
-        if (Instant.since(one.left) > staleAfter) {
-          remove(({ left }) => Instant.since(left) > staleAfter);
+        if (Instant.since(one.left) > expiryTimeoutMs) {
+          remove(({ left }) => Instant.since(left) > expiryTimeoutMs);
           return;
         }
     };
@@ -94,7 +94,7 @@
     };
     // A node that left one parent is most likely on its way to another: its entry stays for a while, but not for long.
     const strikeAll = (via: string, isStruck: (node: string) => boolean) => {
-      const until = Instant.after(movesWithin - staleAfter);
+      const until = Instant.after(movesWithin - expiryTimeoutMs);
       for (const [node, one] of held)
         if (one.entry.via === via && one.isListed && isStruck(node)) {
           one.isListed = false;
@@ -125,14 +125,14 @@
     };
     return {
       self,
-      note,
+      update: note,
       replace(entries, via, isBelow) {
         note(entries, via, isBelow);
         const listed = new Set(entries.map((entry) => entry.node));
         strikeAll(via, (node) => !listed.has(node));
       },
-      strike: (nodes, via) => strikeAll(via, (node) => nodes.includes(node)),
-      forget: (via) => remove((one) => one.isBelow && one.entry.via === via),
+      markDeparted: (nodes, via) => strikeAll(via, (node) => nodes.includes(node)),
+      removeVia: (via) => remove((one) => one.isBelow && one.entry.via === via),
       digestOf: (entry) => together([digestOf(entry)]),
       heartbeat() {
         expire();
@@ -146,7 +146,7 @@
         const digest = together([digestOf(self()), ...fresh.map((one) => one.digest)]);
         return { count: fresh.length + 1, digest, stale };
       },
-      confirm({ count, digest, stale }, via) {
+      applyHeartbeat({ count, digest, stale }, via) {
         expire();
         const unheard = new Set(stale.map(({ node }) => node));
         const listed = [...held.values()].filter(({ entry, isListed }) => entry.via === via && isListed);
@@ -160,15 +160,15 @@
         }
         return true;
       },
-      below: () => list((one) => one.isBelow),
+      descendants: () => list((one) => one.isBelow),
       all: () => [self(), ...list(() => true)],
       get(node) {
         if (node === describe().node) return self();
         const one = held.get(node);
-        if (!one || Instant.since(one.left) > staleAfter) return undefined;
+        if (!one || Instant.since(one.left) > expiryTimeoutMs) return undefined;
         return { ...one.entry, age: Instant.since(one.left) };
       },
-      quietFor: () => Instant.since(joinedAt),
+      sinceLastJoin: () => Instant.since(joinedAt),
       watch(see) {
         watchers.add(see);
         return () => void watchers.delete(see);
--- a/src/membership/places.ts
+++ b/src/membership/parent-candidates.ts
@@ -6,14 +6,14 @@
 import { Address } from '../common/address.js';
 import { Instant } from '../common/instant.js';
 
-export type Places = {
+export type ParentCandidates = {
   readonly next: () => readonly string[];
-  readonly failed: (place: string) => void;
-  readonly learn: (peers: readonly string[]) => void;
-  readonly lower: (relays: readonly string[], own: string) => boolean;
+  readonly markFailed: (place: string) => void;
+  readonly addPeers: (peers: readonly string[]) => void;
+  readonly preferRelays: (relays: readonly string[], own: string) => boolean;
   readonly all: () => readonly string[];
-  readonly met: (place: string, zone: string) => void;
-  readonly nearer: (place: string, isNear: (zone: string) => boolean) => boolean;
+  readonly recordZone: (place: string, zone: string) => void;
+  readonly preferNearer: (place: string, isNear: (zone: string) => boolean) => boolean;
 };
 
 const most = 24;
@@ -23,9 +23,9 @@
 const hash = (text: string): number =>
   [...text].reduce((sum, letter) => (sum * 31 + letter.charCodeAt(0)) >>> 0, 7);
 
-export const Places = {
+export const ParentCandidates = {
   hash,
-  of(seeds: readonly string[], node: string, isFixed: boolean): Places {
+  of(seeds: readonly string[], node: string, isFixed: boolean): ParentCandidates {
     const first = hash(node) % Math.max(1, seeds.length);
     const places = [...seeds.slice(first), ...seeds.slice(0, first)];
     const failedAt = new Map<string, Instant>();
@@ -35,15 +35,15 @@
     const since = (place: string): number => failedAt.get(place) ?? Instant.past;
     return {
       all: () => places,
-      met: (place, zone) => void zones.set(place, zone),
-      nearer(place, isNear) {
+      recordZone: (place, zone) => void zones.set(place, zone),
+      preferNearer(place, isNear) {
         const here = zones.get(place);
         if (here !== undefined && isNear(here)) return false;
         const near = [...zones].filter(([one, zone]) => one !== place && isNear(zone)).map(([one]) => one);
         preferred = near.length > 0 ? near.sort((a, b) => since(a) - since(b)) : preferred;
         return near.length > 0;
       },
-      failed: (place) => void failedAt.set(place, Instant.now()),
+      markFailed: (place) => void failedAt.set(place, Instant.now()),
       next() {
         const order = [...places].sort(
           (a, b) => since(a) - since(b) || places.indexOf(a) - places.indexOf(b),
@@ -55,7 +55,7 @@
         const chosen = named.slice(0, atOnce);
         return other === undefined || chosen.includes(other) ? chosen : [...chosen.slice(0, -1), other];
       },
-      learn(peers) {
+      addPeers(peers) {
         if (isFixed) return;
         for (const peer of new Set(peers)) {
           if (!Address.parse(peer) || seeds.includes(peer)) continue;
@@ -64,7 +64,7 @@
         }
         while (places.length > most) places.splice(seeds.length, 1);
       },
-      lower(relays, own) {
+      preferRelays(relays, own) {
         const others = relays.filter((relay) => Address.parse(relay) !== undefined);
         if (others.length === 0 || others.includes(own) || !Instant.isPast(stayUntil)) return false;
         const start = hash(node) % others.length;
--- a/src/membership/turns.ts
+++ b/src/membership/transfer-queue.ts
@@ -5,26 +5,26 @@
 import { Stamp } from '../common/stamp.js';
 import { Timer } from '../common/timer.js';
 
-export type Turns = {
-  readonly give: (isFirst: boolean, work: () => Promise<void>) => void;
-  readonly mayAsk: (stamp: Stamp) => boolean;
-  readonly waiting: () => number;
+export type TransferQueue = {
+  readonly enqueue: (isFirst: boolean, work: () => Promise<void>) => void;
+  readonly mayRequest: (stamp: Stamp) => boolean;
+  readonly queueLength: () => number;
 };
 
-const atOnce = 4;
+const maxConcurrentTransfers = 4;
 const longest = 2000;
 const askAgainAfter = 500;
 
-export const Turns = {
-  atOnce,
-  of(): Turns {
+export const TransferQueue = {
+  maxConcurrent: maxConcurrentTransfers,
+  of(): TransferQueue {
     const first: (() => Promise<void>)[] = [];
     const others: (() => Promise<void>)[] = [];
     let running = 0;
     let asked = Stamp.none;
     let askedAt = Instant.past;
     const next = () => {
-      if (running >= atOnce) return;
+      if (running >= maxConcurrentTransfers) return;
       const work = first.shift() ?? others.shift();
       if (!work) return;
       running += 1;
@@ -37,12 +37,12 @@
       });
     };
     return {
-      waiting: () => first.length + others.length,
-      give(isFirst, work) {
+      queueLength: () => first.length + others.length,
+      enqueue(isFirst, work) {
         (isFirst ? first : others).push(work);
         next();
       },
-      mayAsk(stamp) {
+      mayRequest(stamp) {
         if (!Stamp.isNewer(stamp, asked) && Instant.since(askedAt) < askAgainAfter) return false;
         asked = stamp;
         askedAt = Instant.now();
--- a/src/membership/uplink.ts
+++ b/src/membership/uplink.ts
@@ -11,19 +11,19 @@
 import { StateMachine } from '../common/state-machine.js';
 import { Timer } from '../common/timer.js';
 import type { Feed } from '../news/feed.js';
-import { Copies } from '../repair/copies.js';
 import { Ranges } from '../repair/ranges.js';
+import { ViewCache } from '../repair/view-cache.js';
 import type { Frame } from '../wire/frame.js';
 import { Link } from '../wire/link.js';
 import { Protocol } from '../wire/protocol.js';
-import { Places } from './places.js';
-import type { Roll } from './roll.js';
+import type { MemberTable } from './member-table.js';
+import { ParentCandidates } from './parent-candidates.js';
 import { Roster } from './roster.js';
 
 export type Uplink = {
   readonly state: () => string;
   readonly parent: () => string;
-  readonly places: () => readonly string[];
+  readonly candidates: () => readonly string[];
   readonly send: (body: Frame.Body) => boolean;
   readonly announce: () => void;
   readonly stop: () => void;
@@ -31,18 +31,18 @@
 };
 
 export declare namespace Uplink {
-  type Needs = {
+  type Options = {
     readonly feed: Feed;
-    readonly roll: Roll;
+    readonly members: MemberTable;
     readonly seeds: readonly string[];
     readonly version: string;
-    readonly isFixed?: boolean;
+    readonly hasFixedCandidates?: boolean;
     /** Opens a link to a place in another way than by a socket. */
     readonly open?: (place: string, terms: Link.Options) => Link;
-    readonly isUpward: boolean;
+    readonly reportsMembers: boolean;
     readonly onParent?: (parent: Frame.Entry, stamp: Stamp) => void;
     readonly onPeers?: (peers: readonly string[]) => void;
-    readonly onWord?: () => void;
+    readonly onPing?: () => void;
     readonly onRoster?: (proxies: readonly string[]) => void;
     readonly onLoads?: (loads: readonly Frame.Load[]) => void;
     readonly onLeaving?: (instances: readonly string[]) => void;
@@ -65,8 +65,8 @@
 const nearerAfter = { least: 4000, most: 60_000 } as const;
 
 export const Uplink = {
-  run(needs: Uplink.Needs): Uplink {
-    const { feed, roll } = needs;
+  run(needs: Uplink.Options): Uplink {
+    const { feed, members: roll } = needs;
     const stop = new AbortController();
     const phase = StateMachine.of('seeking', {
       seeking: ['joining', 'stopped'],
@@ -74,7 +74,7 @@
       joined: ['seeking', 'stopped'],
       stopped: [],
     });
-    const places = Places.of(needs.seeds, roll.self().node, needs.isFixed ?? false);
+    const places = ParentCandidates.of(needs.seeds, roll.self().node, needs.hasFixedCandidates ?? false);
     let joinedAt = Instant.now();
     let parent = '';
     let current: Link | undefined;
@@ -97,10 +97,10 @@
       return zone === here || (zones?.[here] !== undefined && zones[here]?.region === zones[zone]?.region);
     };
     const mayGoNearer = () => {
-      if (needs.isFixed || isBelowAgent || Instant.since(joinedAt) < farFor) return false;
+      if (needs.hasFixedCandidates || isBelowAgent || Instant.since(joinedAt) < farFor) return false;
       if (Instant.since(lookedNearerAt) < lookNearerEvery) return false;
       lookedNearerAt = Instant.now();
-      if (!places.nearer(currentPlace, isNear)) return false;
+      if (!places.preferNearer(currentPlace, isNear)) return false;
       farFor = Math.min(2 * farFor, nearerAfter.most);
       return true;
     };
@@ -109,7 +109,7 @@
     const tellWhole = (link: Link) => {
       const self = roll.self();
       lastTold = roll.digestOf(self);
-      link.send({ kind: 'roll', entries: [self, ...roll.below()], whole: true, departed: [] });
+      link.send({ kind: 'roll', entries: [self, ...roll.descendants()], whole: true, departed: [] });
     };
     const changes = (link: Link) => {
       const changed = new Set<string>();
@@ -126,12 +126,12 @@
       };
       return {
         see(nodes: readonly string[]) {
-          if (!needs.isUpward) return;
+          if (!needs.reportsMembers) return;
           for (const node of nodes) changed.add(node);
           soon ??= Timer.after(changesWithin, flush);
         },
         beat() {
-          if (!needs.isUpward || !phase.is('joined')) return;
+          if (!needs.reportsMembers || !phase.is('joined')) return;
           if (!knowsChanges()) return tellWhole(link);
           if (roll.digestOf(roll.self()) !== lastTold) changed.add(own);
           const heartbeat = roll.heartbeat();
@@ -158,15 +158,15 @@
       }
     };
     const cut = () => (protocol >= Protocol.rangesByName ? 'name' : 'position');
-    const ask = (link: Link, digests = Ranges.digests(Copies.of(feed.view(), cut()))) => {
+    const ask = (link: Link, digests = Ranges.digests(ViewCache.ranges(feed.view(), cut()))) => {
       if (askedAt !== undefined) return;
       askedAt = Instant.now();
       link.send({ kind: 'ask', digests });
     };
     const handUp = async (link: Link) => {
       const isCompressed = protocol >= Protocol.rangesByName;
-      const compressed = isCompressed ? await Copies.compressed(feed.view()) : new Uint8Array();
-      const view = isCompressed ? new Uint8Array() : Copies.bytes(feed.view());
+      const compressed = isCompressed ? await ViewCache.compressed(feed.view()) : new Uint8Array();
+      const view = isCompressed ? new Uint8Array() : ViewCache.bytes(feed.view());
       link.send({ kind: 'news', view, compressed });
     };
     // While the view that was asked for is on its way, only the parent's own word says whether it is cut off.
@@ -178,18 +178,18 @@
       if (isOld && isFree()) throw Failure.of('silence', 'no fresh word from the primary here');
     };
     const goLower = (relays: readonly string[], link: Link): boolean => {
-      if (needs.isFixed || !places.lower(relays, roll.self().wire)) return false;
+      if (needs.hasFixedCandidates || !places.preferRelays(relays, roll.self().wire)) return false;
       needs.note('going lower', { relays });
       link.close();
       return true;
     };
     const learnPeers = (peers: readonly string[]) => {
-      places.learn(peers);
+      places.addPeers(peers);
       needs.onPeers?.(peers);
     };
     const hearPing = ({ age, stamp }: Extract<Frame, { kind: 'ping' }>, link: Link) => {
-      feed.hear(age, stamp);
-      needs.onWord?.();
+      feed.recordPing(age, stamp);
+      needs.onPing?.();
       lookAtAge(age);
       if (Stamp.isNewer(stamp, feed.stamp())) ask(link);
       if (mayGoNearer() || (isFar && Instant.since(joinedAt) > stayFar))
@@ -202,7 +202,7 @@
           learnPeers(peers);
           if (goLower(relays, link)) return;
           isBelowAgent = self.program === 'agent';
-          if (!isBelowAgent) places.met(currentPlace, self.zone);
+          if (!isBelowAgent) places.recordZone(currentPlace, self.zone);
           if (isBelowAgent && age > oldAfter && isFree())
             throw Failure.of('silence', 'no fresh word from the primary there');
           phase.transitionTo('joined');
@@ -210,19 +210,21 @@
           parent = self.node;
           isFar = isBelowAgent && self.zone !== roll.self().zone;
           needs.onParent?.(self, stamp);
-          if (needs.isUpward) tellWhole(link);
+          if (needs.reportsMembers) tellWhole(link);
           if (Stamp.isNewer(stamp, feed.stamp())) ask(link);
         })
         .with({ kind: 'peers' }, ({ peers }) => learnPeers(peers))
         .with({ kind: 'lower' }, ({ relays }) => void goLower(relays, link))
         .with({ kind: 'news' }, (news) => {
           askedAt = undefined;
-          feed.offer(Copies.read(news));
+          feed.offer(ViewCache.decodeView(news));
         })
         .with({ kind: 'patch' }, (patch) => {
           askedAt = undefined;
           try {
-            feed.offer(Ranges.mend(Copies.of(feed.view(), cut()), Copies.readPatch(patch), cut()));
+            feed.offer(
+              Ranges.applyPatch(ViewCache.ranges(feed.view(), cut()), ViewCache.decodePatch(patch), cut()),
+            );
           } catch (error) {
             needs.note('asking for the whole view', { why: Failure.text(error) });
             ask(link, []);
@@ -248,7 +250,7 @@
         });
     const dial = (): Promise<{ readonly place: string; readonly link: Link }> => {
       const terms = { stamp: feed.stamp, age: feed.age, pingEvery, silence };
-      const below = new Set([roll.self().wire, ...roll.below().map((entry) => entry.wire)]);
+      const below = new Set([roll.self().wire, ...roll.descendants().map((entry) => entry.wire)]);
       const list = places.next().filter((place) => !below.has(place) && Address.parse(place) !== undefined);
       const hasOne = new AbortController();
       const dials = list.map(async (place, index) => {
@@ -259,7 +261,7 @@
           ? Promise.resolve(needs.open(place, terms))
           : Link.open(Address.checked(place), terms, either);
         const link = await opened.catch((error: unknown) => {
-          if (!hasOne.signal.aborted) places.failed(place);
+          if (!hasOne.signal.aborted) places.markFailed(place);
           throw error;
         });
         if (hasOne.signal.aborted) link.close();
@@ -295,7 +297,7 @@
       } catch (error) {
         if (phase.is('joined')) needs.note('session ended', { place, why: Failure.text(error) });
       } finally {
-        places.failed(place);
+        places.markFailed(place);
         current = undefined;
         rolls.stop();
         for (const end of unwatch) end();
@@ -319,7 +321,7 @@
     return {
       state: () => phase.state,
       parent: () => parent,
-      places: places.all,
+      candidates: places.all,
       announce() {
         if (phase.is('joined') && current) beat();
       },
--- a/src/membership/dispatch.ts
+++ b/src/membership/view-sender.ts
@@ -4,24 +4,24 @@
 import { Stamp } from '../common/stamp.js';
 import { View } from '../manifest/view.js';
 import type { Feed } from '../news/feed.js';
-import { Copies } from '../repair/copies.js';
 import { Ranges } from '../repair/ranges.js';
+import { ViewCache } from '../repair/view-cache.js';
 import type { Link } from '../wire/link.js';
 import { Protocol } from '../wire/protocol.js';
-import type { Turns } from './turns.js';
+import type { TransferQueue } from './transfer-queue.js';
 
-export type Dispatch = {
+export type ViewSender = {
   readonly send: () => void;
-  readonly answer: (digests: readonly string[]) => void;
+  readonly handleRequest: (digests: readonly string[]) => void;
   /** The child says that it holds the view of this stamp, which it may have from others. */
-  readonly holds: (stamp: Stamp) => void;
+  readonly markHeld: (stamp: Stamp) => void;
 };
 
-export declare namespace Dispatch {
-  type Needs = {
+export declare namespace ViewSender {
+  type Options = {
     readonly link: Link;
     readonly feed: Feed;
-    readonly turns: Turns;
+    readonly transfers: TransferQueue;
     readonly protocol: Protocol;
     readonly isFirst: () => boolean;
     readonly isSame: boolean;
@@ -45,15 +45,15 @@
 
 const sizeOf = (patch: Ranges.Patch): number => patch.ranges.reduce((sum, { body }) => sum + body.length, 0);
 
-export const Dispatch = {
-  of({ link, feed, turns, protocol, isFirst, isSame, age }: Dispatch.Needs): Dispatch {
+export const ViewSender = {
+  of({ link, feed, transfers: turns, protocol, isFirst, isSame, age }: ViewSender.Options): ViewSender {
     const isByName = protocol >= Protocol.rangesByName;
-    const ranges = () => Copies.of(feed.view(), isByName ? 'name' : 'position');
+    const ranges = () => ViewCache.ranges(feed.view(), isByName ? 'name' : 'position');
     let held: readonly string[] = isSame ? Ranges.digests(ranges()) : [];
     let isWaiting = false;
     let answered: { readonly stamp: Stamp; readonly question: string } | undefined;
     let heldAt = isSame ? feed.stamp() : Stamp.none;
-    const patchNow = (): Ranges.Patch => Copies.patch(feed.view(), held, isByName ? 'name' : 'position');
+    const patchNow = (): Ranges.Patch => ViewCache.patch(feed.view(), held, isByName ? 'name' : 'position');
     const isWorthIt = (patch: Ranges.Patch) => patch.ranges.some(({ body }) => body === '');
     const sent = () => {
       held = Ranges.digests(ranges());
@@ -62,13 +62,13 @@
       link.send({ kind: 'ping', age: age() });
     };
     const sendPatch = (patch: Ranges.Patch) => {
-      const compressed = isByName ? Copies.compressedPatch(patch) : new Uint8Array();
+      const compressed = isByName ? ViewCache.compressedPatch(patch) : new Uint8Array();
       const isLess = compressed.length > 0;
       link.send({ kind: 'patch', seal: patch.seal, ranges: isLess ? [] : patch.ranges, compressed });
       sent();
     };
     const sendWhole = (compressed: Uint8Array) => {
-      const view = compressed.length > 0 ? new Uint8Array() : Copies.bytes(feed.view());
+      const view = compressed.length > 0 ? new Uint8Array() : ViewCache.bytes(feed.view());
       link.send({ kind: 'news', view, compressed });
       sent();
     };
@@ -76,7 +76,7 @@
       if (!isByName) return new Uint8Array();
       for (;;) {
         const view = feed.view();
-        const compressed = await Copies.compressed(view);
+        const compressed = await ViewCache.compressed(view);
         if (view === feed.view()) return compressed;
       }
     };
@@ -102,18 +102,18 @@
       const patch = patchNow();
       if (isWorthIt(patch) && sizeOf(patch) <= smallUpTo) return sendPatch(patch);
       if (lengthOf(ranges()) <= smallUpTo)
-        return sendWhole(isByName ? Copies.compressedSmall(feed.view()) : new Uint8Array());
+        return sendWhole(isByName ? ViewCache.compressedSmall(feed.view()) : new Uint8Array());
       isWaiting = true;
-      turns.give(isFirst(), sendLarge);
+      turns.enqueue(isFirst(), sendLarge);
     };
     return {
       send,
-      holds(stamp) {
+      markHeld(stamp) {
         if (!Stamp.isSame(stamp, feed.stamp()) || Stamp.isSame(stamp, heldAt)) return;
         held = Ranges.digests(ranges());
         heldAt = stamp;
       },
-      answer(digests) {
+      handleRequest(digests) {
         const question = digests.join();
         const isAgain =
           digests.length > 0 &&
--- a/src/news/feed.ts
+++ b/src/news/feed.ts
@@ -13,11 +13,11 @@
   readonly stamp: () => Stamp;
   readonly offer: (view: View) => boolean;
   readonly watch: (see: (view: View) => void) => () => void;
-  readonly watchWord: (see: () => void) => () => void;
-  readonly hear: (age: number, stamp: Stamp) => void;
+  readonly watchConfirmed: (see: () => void) => () => void;
+  readonly recordPing: (age: number, stamp: Stamp) => void;
   readonly age: () => number;
-  readonly vouchedAt: () => Instant;
-  readonly ignored: () => number;
+  readonly confirmedAt: () => Instant;
+  readonly ignoredCount: () => number;
 };
 
 export const Feed = {
@@ -32,7 +32,7 @@
     return {
       view: () => view,
       stamp: () => view.stamp,
-      ignored: () => ignored,
+      ignoredCount: () => ignored,
       offer(next) {
         if (!Stamp.isNewer(next.stamp, view.stamp)) {
           if (!Stamp.isSame(next.stamp, view.stamp)) ignored += 1;
@@ -48,11 +48,11 @@
         watchers.add(see);
         return () => void watchers.delete(see);
       },
-      watchWord(see) {
+      watchConfirmed(see) {
         wordWatchers.add(see);
         return () => void wordWatchers.delete(see);
       },
-      hear(age, stamp) {
+      recordPing(age, stamp) {
         if (Stamp.isNewer(stamp, view.stamp)) return;
         const at = Instant.after(-age);
         if (at > heard) heard = at;
@@ -63,7 +63,7 @@
         for (const see of [...wordWatchers]) see();
       },
       age: () => Instant.since(heard),
-      vouchedAt: () => vouched,
+      confirmedAt: () => vouched,
     };
   },
 };
--- a/src/news/relays.ts
+++ b/src/news/relays.ts
@@ -17,7 +17,7 @@
   relays.some((entry) => entry.node === child.node);
 
 export const Relays = {
-  isOne: (child: Frame.Entry, roll: readonly Frame.Entry[]): boolean =>
+  isRelay: (child: Frame.Entry, roll: readonly Frame.Entry[]): boolean =>
     child.program === 'agent' && isAmong(relaysOf(child.zone, roll), child),
   of(child: Frame.Entry, roll: readonly Frame.Entry[]): Relays {
     if (child.program !== 'agent') return [];
--- a/src/news/voucher.ts
+++ b/src/news/view-confirmation.ts
@@ -7,27 +7,27 @@
 import { StateMachine } from '../common/state-machine.js';
 import type { Feed } from './feed.js';
 
-export type Voucher = {
-  readonly isVouched: () => boolean;
-  readonly look: () => void;
-  readonly promise: (stamp: Stamp) => void;
+export type ViewConfirmation = {
+  readonly isConfirmed: () => boolean;
+  readonly check: () => void;
+  readonly confirmFrom: (stamp: Stamp) => void;
 };
 
-export const Voucher = {
-  of(feed: Feed, onVouched: () => void): Voucher {
+export const ViewConfirmation = {
+  of(feed: Feed, onVouched: () => void): ViewConfirmation {
     const began = Instant.now();
     const phase = StateMachine.of('waiting', { waiting: ['vouched'], vouched: [] }, onVouched);
     let promised: Stamp | undefined;
     const look = () => {
       if (phase.is('vouched') || !feed.view().manifest) return;
       const isKept = promised !== undefined && !Stamp.isNewer(promised, feed.stamp());
-      if (isKept || feed.vouchedAt() > began) phase.transitionTo('vouched');
+      if (isKept || feed.confirmedAt() > began) phase.transitionTo('vouched');
     };
     feed.watch(look);
     return {
-      isVouched: () => phase.is('vouched'),
-      look,
-      promise(stamp) {
+      isConfirmed: () => phase.is('vouched'),
+      check: look,
+      confirmFrom(stamp) {
         promised ??= stamp;
         look();
       },
--- a/src/proxy/program.ts
+++ b/src/proxy/program.ts
@@ -8,10 +8,10 @@
 import { Timer } from '../common/timer.js';
 import type { LogBuffer } from '../log/log-buffer.js';
 import { Compiled } from '../manifest/compiled.js';
-import { Roll } from '../membership/roll.js';
+import { MemberTable } from '../membership/member-table.js';
 import { Uplink } from '../membership/uplink.js';
 import { Feed } from '../news/feed.js';
-import { Voucher } from '../news/voucher.js';
+import { ViewConfirmation } from '../news/view-confirmation.js';
 import { Ops } from '../startup/ops.js';
 import type { Program } from '../startup/program.js';
 import type { Startup } from '../startup/startup.js';
@@ -162,7 +162,7 @@
     };
     const inForce = () => compiled?.stamp ?? Stamp.none;
     const enforce = () => {
-      if (!voucher.isVouched()) return;
+      if (!voucher.isConfirmed()) return;
       const before = compiled;
       compiled = Compiled.of(departures.over(feed.view()));
       if (!compiled) return;
@@ -178,7 +178,7 @@
       serial: () => feed.view().platform.serial,
       onChange: () => enforce(),
     });
-    const voucher = Voucher.of(feed, enforce);
+    const voucher = ViewConfirmation.of(feed, enforce);
     feed.watch(enforce);
     const ready = Ready.of({
       zone: startup.zone,
@@ -238,7 +238,7 @@
       }),
     }).server();
     const opsAt = await Listen(ops, Address.checked(startup.ops));
-    const roll = Roll.of(() => ({
+    const roll = MemberTable.of(() => ({
       node: startup.node,
       program: 'proxy',
       zone: startup.zone,
@@ -249,19 +249,19 @@
       ops: Address.text(opsAt),
       depth: 0,
       ready: isReady() === undefined,
-      vouched: voucher.isVouched(),
+      vouched: voucher.isConfirmed(),
     }));
     const uplink: Uplink = Uplink.run({
       feed,
-      roll,
+      members: roll,
       seeds: [startup.agent],
       version: Version,
-      isFixed: true,
+      hasFixedCandidates: true,
       ...(join ? { open: (_place: string, terms: Link.Options) => join(terms) } : {}),
-      isUpward: true,
-      onWord: voucher.look,
+      reportsMembers: true,
+      onPing: voucher.check,
       onParent(agent, stamp) {
-        if (agent.vouched) voucher.promise(stamp);
+        if (agent.vouched) voucher.confirmFrom(stamp);
       },
       onRoster(proxies) {
         roster = proxies;
--- a/src/repair/ranges.ts
+++ b/src/repair/ranges.ts
@@ -154,7 +154,7 @@
     return digests;
   },
   /** The ranges that this view was put together from, where it was: they need not be cut again. */
-  ofMended: (view: View, cut: Chunks.Cut): Ranges | undefined => mended[cut].get(view),
+  ofPatchedView: (view: View, cut: Chunks.Cut): Ranges | undefined => mended[cut].get(view),
   patch(ranges: Ranges, held: readonly string[], hasRuns = true): Ranges.Patch {
     const places = new Map([...held.keys()].reverse().map((at) => [held[at]!, at]));
     const parts: { name: string; digest: string; body: string; count: number }[] = [];
@@ -173,7 +173,7 @@
     return { seal: Ranges.seal(ranges), ranges: parts };
   },
   /** Reads and checks only what the patch brings; the seal, over the digests of all, says that nothing is missing. */
-  mend(held: Ranges, patch: Ranges.Patch, cut: Chunks.Cut = 'name'): View {
+  applyPatch(held: Ranges, patch: Ranges.Patch, cut: Chunks.Cut = 'name'): View {
     const ranges = restore(held, patch, cut);
     if (Ranges.seal(ranges) !== patch.seal) throw Failure.of('frame', 'the mended view has another seal');
     const view = join(ranges);
--- a/src/repair/copies.ts
+++ b/src/repair/view-cache.ts
@@ -7,7 +7,7 @@
 import type { Chunks } from './chunks.js';
 import { Ranges } from './ranges.js';
 
-export type Copies = { readonly ranges: () => Ranges };
+export type ViewCache = { readonly ranges: () => Ranges };
 
 const longest = 32 * 1024 * 1024;
 const compressedFrom = 512;
@@ -46,11 +46,11 @@
   }
 };
 
-export const Copies = {
-  of(view: View, cut: Chunks.Cut = 'name'): Ranges {
+export const ViewCache = {
+  ranges(view: View, cut: Chunks.Cut = 'name'): Ranges {
     const known = kept[cut].get(view);
     if (known) return known;
-    const ranges = Ranges.ofMended(view, cut) ?? Ranges.cut(view, cut);
+    const ranges = Ranges.ofPatchedView(view, cut) ?? Ranges.cut(view, cut);
     kept[cut].set(view, ranges);
     return ranges;
   },
@@ -64,12 +64,12 @@
   compressed(view: View): Promise<Uint8Array> {
     const known = compressed.get(view);
     if (known) return known;
-    const bytes = compress(Copies.bytes(view), { level: 1 });
+    const bytes = compress(ViewCache.bytes(view), { level: 1 });
     compressed.set(view, bytes);
     return bytes;
   },
   /** A small view compressed, or nothing where that is not worth it. */
-  compressedSmall: (view: View): Uint8Array => compressSmall(view, () => Copies.bytes(view)),
+  compressedSmall: (view: View): Uint8Array => compressSmall(view, () => ViewCache.bytes(view)),
   /** What changes of the view for one that holds these ranges in this order. */
   patch(view: View, held: readonly string[], cut: Chunks.Cut): Ranges.Patch {
     const made: Made = patches[cut].get(view) ?? { byList: new WeakMap(), byText: new Map() };
@@ -77,16 +77,21 @@
     const known = made.byList.get(held);
     if (known) return known;
     const text = held.join();
-    const patch = made.byText.get(text) ?? Ranges.patch(Copies.of(view, cut), held, cut === 'name');
+    const patch = made.byText.get(text) ?? Ranges.patch(ViewCache.ranges(view, cut), held, cut === 'name');
     made.byText.set(text, patch);
     made.byList.set(held, patch);
     return patch;
   },
   compressedPatch: (patch: Ranges.Patch): Uint8Array =>
     compressSmall(patch, () => Buffer.from(JSON.stringify(patch.ranges))),
-  read: ({ view, compressed: bytes }: { readonly view: Uint8Array; readonly compressed: Uint8Array }): View =>
-    View.decode(bytes.length === 0 ? view : expand(bytes)),
-  readPatch({
+  decodeView: ({
+    view,
+    compressed: bytes,
+  }: {
+    readonly view: Uint8Array;
+    readonly compressed: Uint8Array;
+  }): View => View.decode(bytes.length === 0 ? view : expand(bytes)),
+  decodePatch({
     seal,
     ranges,
     compressed: bytes,
--- a/test/change-cost.test.ts
+++ b/test/change-cost.test.ts
@@ -6,11 +6,11 @@
 import { Revision } from '../src/common/revision.js';
 import { Stamp } from '../src/common/stamp.js';
 import { View } from '../src/manifest/view.js';
-import { Dispatch } from '../src/membership/dispatch.js';
-import { Turns } from '../src/membership/turns.js';
+import { TransferQueue } from '../src/membership/transfer-queue.js';
+import { ViewSender } from '../src/membership/view-sender.js';
 import { Feed } from '../src/news/feed.js';
-import { Copies } from '../src/repair/copies.js';
 import { Ranges } from '../src/repair/ranges.js';
+import { ViewCache } from '../src/repair/view-cache.js';
 import type { Frame } from '../src/wire/frame.js';
 import type { Link } from '../src/wire/link.js';
 import { Protocol } from '../src/wire/protocol.js';
@@ -84,14 +84,14 @@
   it('is to read what came, at a node that holds the rest', () => {
     const held = viewOf(1, plain);
     const after = viewOf(2, plain.with(500, ruleOf(500, '/elsewhere/*')));
-    const patch = Ranges.patch(Ranges.cut(anew(after)), Ranges.digests(Copies.of(held)));
+    const patch = Ranges.patch(Ranges.cut(anew(after)), Ranges.digests(ViewCache.ranges(held)));
     const sent = patch.ranges.reduce((sum, { body }) => sum + body.length, 0);
     const whole = JSON.stringify(after).length;
     let mended = held;
     const count = charactersOf(() => {
-      mended = Ranges.mend(Copies.of(held), patch);
-      Ranges.digests(Copies.of(mended));
-      Ranges.seal(Copies.of(mended));
+      mended = Ranges.applyPatch(ViewCache.ranges(held), patch);
+      Ranges.digests(ViewCache.ranges(mended));
+      Ranges.seal(ViewCache.ranges(mended));
     });
     assert.deepEqual(mended, after);
     assert.equal(count, sent, `${count} characters for ${sent} that came`);
@@ -113,13 +113,13 @@
         const meant = anew(viewOf(revision, rules, packedOf(random.below(9))));
         const patch = Ranges.patch(
           Ranges.cut(meant, cut),
-          Ranges.digests(Copies.of(held, cut)),
+          Ranges.digests(ViewCache.ranges(held, cut)),
           cut === 'name',
         );
-        held = Ranges.mend(Copies.of(held, cut), patch, cut);
+        held = Ranges.applyPatch(ViewCache.ranges(held, cut), patch, cut);
         assert.deepEqual(held, meant);
         const facts = (ranges: Ranges) => [...ranges].map(([name, { digest, body }]) => [name, digest, body]);
-        assert.deepEqual(facts(Copies.of(held, cut)), facts(Ranges.cut(anew(held), cut)));
+        assert.deepEqual(facts(ViewCache.ranges(held, cut)), facts(Ranges.cut(anew(held), cut)));
       }
     }
   });
@@ -141,10 +141,10 @@
         return true;
       },
     } as unknown as Link;
-    const dispatch = Dispatch.of({
+    const dispatch = ViewSender.of({
       link,
       feed,
-      turns: Turns.of(),
+      transfers: TransferQueue.of(),
       protocol: Protocol.newest,
       isFirst: () => true,
       isSame: true,
--- a/test/joining.test.ts
+++ b/test/joining.test.ts
@@ -6,13 +6,13 @@
 import { View } from '../src/manifest/view.js';
 import { Children } from '../src/membership/children.js';
 import { Downlink } from '../src/membership/downlink.js';
-import { Roll } from '../src/membership/roll.js';
-import { Turns } from '../src/membership/turns.js';
+import { MemberTable } from '../src/membership/member-table.js';
+import { TransferQueue } from '../src/membership/transfer-queue.js';
 import { Uplink } from '../src/membership/uplink.js';
 import { Feed } from '../src/news/feed.js';
 import { Relays } from '../src/news/relays.js';
-import { Copies } from '../src/repair/copies.js';
 import { Ranges } from '../src/repair/ranges.js';
+import { ViewCache } from '../src/repair/view-cache.js';
 import type { Frame } from '../src/wire/frame.js';
 import { Link } from '../src/wire/link.js';
 import { LinkServer } from '../src/wire/link-server.js';
@@ -52,8 +52,10 @@
   grants: [],
 } as const;
 
-const openParent = async (feed: Feed, turns: Turns) => {
-  const roll = Roll.of(() => entry('parent', { program: 'control', zone: 'b-1', stamp: feed.stamp() }));
+const openParent = async (feed: Feed, turns: TransferQueue) => {
+  const roll = MemberTable.of(() =>
+    entry('parent', { program: 'control', zone: 'b-1', stamp: feed.stamp() }),
+  );
   const children = Children.of(roll);
   const hellos: string[] = [];
   const doorway = await LinkServer.open({
@@ -70,7 +72,7 @@
         ParentKit.needs(feed, roll, {
           children,
           isRelay: (child) => child.node.startsWith('relay'),
-          turns,
+          transfers: turns,
           onTokens: () => void link.send(echo),
         }),
       );
@@ -90,10 +92,11 @@
 describe('joining', () => {
   it('lets those wait who need the whole view, longer than a silent parent is borne, and leaves none behind', async () => {
     const feed = Feed.of(viewOf(1));
-    const turns = Turns.of();
+    const turns = TransferQueue.of();
     const { doorway, hellos } = await openParent(feed, turns);
     // Turns that never end are taken off them after two seconds each: the children wait for two rounds of them.
-    for (let count = 0; count < 2 * Turns.atOnce; count += 1) turns.give(true, () => new Promise(() => {}));
+    for (let count = 0; count < 2 * TransferQueue.maxConcurrent; count += 1)
+      turns.enqueue(true, () => new Promise(() => {}));
     const order: string[] = [];
     const children = ['child-1', 'child-2', 'child-3', 'child-4', 'child-5', 'relay-1'].map((node) => {
       const own = Feed.of();
@@ -101,10 +104,10 @@
       const notes: string[] = [];
       const uplink = Uplink.run({
         feed: own,
-        roll: Roll.of(() => entry(node, { stamp: own.stamp() })),
+        members: MemberTable.of(() => entry(node, { stamp: own.stamp() })),
         seeds: [LinkServer.text(doorway), '127.0.0.1:9'],
         version: '',
-        isUpward: true,
+        reportsMembers: true,
         note: (text) => notes.push(text),
       });
       return { own, uplink, notes };
@@ -117,7 +120,10 @@
         [],
       );
       assert.equal(order.length, children.length);
-      assert.ok(order.indexOf('relay-1') < Turns.atOnce, `the relay came after ${order.join()}`);
+      assert.ok(
+        order.indexOf('relay-1') < TransferQueue.maxConcurrent,
+        `the relay came after ${order.join()}`,
+      );
     } finally {
       for (const { uplink } of children) uplink.stop();
       await Promise.all(children.map(({ uplink }) => uplink.done));
@@ -142,19 +148,19 @@
 
   it('answers once what a child asks again while its answer is on the way', async () => {
     const feed = Feed.of(viewOf(1));
-    const { doorway } = await openParent(feed, Turns.of());
+    const { doorway } = await openParent(feed, TransferQueue.of());
     try {
       const { link, next } = await join(doorway, Protocol.newest);
-      const digests = Ranges.digests(Copies.of(View.empty));
+      const digests = Ranges.digests(ViewCache.ranges(View.empty));
       const askAgain = async () => {
-        await Copies.compressed(feed.view());
+        await ViewCache.compressed(feed.view());
         link.send({ kind: 'ask', digests });
         link.send(echo);
         assert.equal((await next(['tokens', 'news', 'patch'])).kind, 'tokens');
       };
       for (let count = 0; count < 5; count += 1) link.send({ kind: 'ask', digests });
       const first = await next(['news', 'patch']);
-      assert.equal(first.kind === 'news' && Copies.read(first).stamp.revision, 1);
+      assert.equal(first.kind === 'news' && ViewCache.decodeView(first).stamp.revision, 1);
       await askAgain();
       feed.offer(viewOf(2));
       assert.equal((await next(['news', 'patch'])).kind, 'patch');
@@ -172,7 +178,7 @@
   });
   it('sends a large whole view compressed to who knows how to read it, plain to earlier programs', async () => {
     const feed = Feed.of(viewOf(1));
-    const { doorway } = await openParent(feed, Turns.of());
+    const { doorway } = await openParent(feed, TransferQueue.of());
     try {
       const whole = View.encode(feed.view()).length;
       for (const protocol of [Protocol.none, Protocol.newest]) {
@@ -182,7 +188,7 @@
         assert.ok(news.kind === 'news');
         assert.equal(news.view.length, protocol === Protocol.none ? whole : 0);
         assert.ok(protocol === Protocol.none || news.compressed.length < whole / 3);
-        assert.deepEqual(Copies.read(news), feed.view());
+        assert.deepEqual(ViewCache.decodeView(news), feed.view());
         link.close();
       }
     } finally {
@@ -217,11 +223,11 @@
       const feed = Feed.of(viewOf(1));
       const uplink = Uplink.run({
         feed,
-        roll: Roll.of(() => entry('child', { stamp: feed.stamp() })),
+        members: MemberTable.of(() => entry('child', { stamp: feed.stamp() })),
         seeds: [LinkServer.text(doorway)],
         version: '',
-        isFixed: true,
-        isUpward: true,
+        hasFixedCandidates: true,
+        reportsMembers: true,
         note: () => {},
       });
       try {
@@ -235,11 +241,11 @@
     }
   });
   it('asks one of the children that hold a newer view, and another only after a while', () => {
-    const turns = Turns.of();
-    assert.equal(turns.mayAsk(Stamp.of(1, 5)), true);
-    assert.equal(turns.mayAsk(Stamp.of(1, 5)), false);
-    assert.equal(turns.mayAsk(Stamp.of(1, 4)), false);
-    assert.equal(turns.mayAsk(Stamp.of(1, 6)), true);
+    const turns = TransferQueue.of();
+    assert.equal(turns.mayRequest(Stamp.of(1, 5)), true);
+    assert.equal(turns.mayRequest(Stamp.of(1, 5)), false);
+    assert.equal(turns.mayRequest(Stamp.of(1, 4)), false);
+    assert.equal(turns.mayRequest(Stamp.of(1, 6)), true);
   });
   it('names relays only once they hold a view', () => {
     const stamp = Stamp.of(1, 1);
@@ -253,7 +259,7 @@
     assert.deepEqual(Relays.of(roll[2]!, roll), ['a']);
     assert.deepEqual(Relays.of(roll[1]!, roll), []);
     assert.deepEqual(
-      roll.map((one) => Relays.isOne(one, roll)),
+      roll.map((one) => Relays.isRelay(one, roll)),
       [true, true, false, true],
     );
   });
--- a/test/link-pair.test.ts
+++ b/test/link-pair.test.ts
@@ -11,7 +11,7 @@
 import { LogBuffer } from '../src/log/log-buffer.js';
 import type { Document } from '../src/manifest/document.js';
 import { View } from '../src/manifest/view.js';
-import { Roll } from '../src/membership/roll.js';
+import { MemberTable } from '../src/membership/member-table.js';
 import { Uplink } from '../src/membership/uplink.js';
 import { Feed } from '../src/news/feed.js';
 import type { Frame } from '../src/wire/frame.js';
@@ -73,13 +73,21 @@
       LogBuffer.of('agent'),
     );
     const feed = Feed.of();
-    const roll = Roll.of(() => ({
+    const roll = MemberTable.of(() => ({
       ...{ node: 'proxy', program: 'proxy', zone: 'a-1', boot: 'b', stamp: feed.stamp(), http: '', wire: '' },
       ...{ ops: '', depth: 0, ready: true, vouched: true },
     }));
     const parents: string[] = [];
     const uplink = Uplink.run({
-      ...{ feed, roll, seeds: [address], version: '', isFixed: true, isUpward: true, note: () => {} },
+      ...{
+        feed,
+        members: roll,
+        seeds: [address],
+        version: '',
+        hasFixedCandidates: true,
+        reportsMembers: true,
+        note: () => {},
+      },
       open: (_place, own) => agent.join(own),
       onParent: ({ node }) => void parents.push(node),
     });
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -5,7 +5,7 @@
 import { View } from '../src/manifest/view.js';
 import { Children } from '../src/membership/children.js';
 import { Downlink } from '../src/membership/downlink.js';
-import { Roll } from '../src/membership/roll.js';
+import { MemberTable } from '../src/membership/member-table.js';
 import { Uplink } from '../src/membership/uplink.js';
 import { Feed } from '../src/news/feed.js';
 import type { Frame } from '../src/wire/frame.js';
@@ -34,7 +34,7 @@
 });
 
 const rollOf = (node: string) =>
-  Roll.of(() => {
+  MemberTable.of(() => {
     const { counter: _counter, age: _age, via: _via, ...rest } = entry(node, 0, 1);
     return { ...rest, program: 'agent' };
   });
@@ -66,20 +66,20 @@
         };
         came();
       });
-    for (let index = 0; index < below; index += 1) roll.note([entry(nameOf(index), 1, 1)], 'child', true);
+    for (let index = 0; index < below; index += 1) roll.update([entry(nameOf(index), 1, 1)], 'child', true);
     const uplink = Uplink.run({
       feed,
-      roll,
+      members: roll,
       seeds: [LinkServer.text(doorway)],
       version: '',
-      isFixed: true,
-      isUpward: true,
+      hasFixedCandidates: true,
+      reportsMembers: true,
       note: () => {},
     });
     try {
       await met(() => rolls.some((entries) => entries.length === below + 1));
       const before = rolls.length;
-      for (let index = 0; index < 3; index += 1) roll.note([entry(nameOf(index), 2, 2)], 'child', true);
+      for (let index = 0; index < 3; index += 1) roll.update([entry(nameOf(index), 2, 2)], 'child', true);
       const isTold = (entries: readonly Frame.Entry[]) =>
         [0, 1, 2].every((index) =>
           entries.some((one) => one.node === nameOf(index) && one.stamp.revision === 2),
@@ -102,10 +102,10 @@
     const roll = rollOf('core');
     const seen: (readonly string[])[] = [];
     roll.watch((changed) => seen.push(changed));
-    roll.note([entry('far', 1, 1)], 'mate', false);
-    roll.note([entry('near', 1, 1)], 'near', true);
-    roll.note([entry('near', 2, 1)], 'near', true);
-    roll.note([entry('near', 3, 2), entry('far', 2, 2)], 'near', true);
+    roll.update([entry('far', 1, 1)], 'mate', false);
+    roll.update([entry('near', 1, 1)], 'near', true);
+    roll.update([entry('near', 2, 1)], 'near', true);
+    roll.update([entry('near', 3, 2), entry('far', 2, 2)], 'near', true);
     assert.deepEqual(seen, [['near'], ['near', 'far']]);
     assert.equal(roll.get('near')?.stamp.revision, 2);
     assert.equal(roll.get('nobody'), undefined);
--- a/test/nearer.test.ts
+++ b/test/nearer.test.ts
@@ -4,15 +4,15 @@
 import { describe, it } from 'node:test';
 import { Stamp } from '../src/common/stamp.js';
 import { Downlink } from '../src/membership/downlink.js';
-import { Places } from '../src/membership/places.js';
-import { Roll } from '../src/membership/roll.js';
+import { MemberTable } from '../src/membership/member-table.js';
+import { ParentCandidates } from '../src/membership/parent-candidates.js';
 import { Uplink } from '../src/membership/uplink.js';
 import { Feed } from '../src/news/feed.js';
 import { LinkServer } from '../src/wire/link-server.js';
 import { ParentKit } from './parent-kit.js';
 
 const rollOf = (node: string, program: string, zone: string) =>
-  Roll.of(() => ({
+  MemberTable.of(() => ({
     node,
     program,
     zone,
@@ -51,10 +51,10 @@
     });
     const uplink = Uplink.run({
       feed: Feed.of(),
-      roll: rollOf('agent', 'agent', 'a-1'),
+      members: rollOf('agent', 'agent', 'a-1'),
       seeds: [LinkServer.text(near), LinkServer.text(far)],
       version: '',
-      isUpward: true,
+      reportsMembers: true,
       onParent({ node }) {
         parents.push(node);
         if (node === 'far') ages.near = 0;
@@ -75,14 +75,14 @@
 
   it('is looked for only when a near one was met, and is then dialled first', () => {
     const seeds = ['10.0.0.1:1', '10.0.0.2:1', '10.0.0.3:1'];
-    const places = Places.of(seeds, 'node', false);
+    const places = ParentCandidates.of(seeds, 'node', false);
     const isNear = (zone: string) => zone === 'a-1';
-    places.met('10.0.0.2:1', 'b-1');
-    assert.equal(places.nearer('10.0.0.2:1', isNear), false);
-    places.met('10.0.0.3:1', 'a-1');
-    assert.equal(places.nearer('10.0.0.3:1', isNear), false);
-    places.failed('10.0.0.3:1');
-    assert.equal(places.nearer('10.0.0.2:1', isNear), true);
+    places.recordZone('10.0.0.2:1', 'b-1');
+    assert.equal(places.preferNearer('10.0.0.2:1', isNear), false);
+    places.recordZone('10.0.0.3:1', 'a-1');
+    assert.equal(places.preferNearer('10.0.0.3:1', isNear), false);
+    places.markFailed('10.0.0.3:1');
+    assert.equal(places.preferNearer('10.0.0.2:1', isNear), true);
     assert.equal(places.next()[0], '10.0.0.3:1');
   });
 });
--- a/test/parent-kit.ts
+++ b/test/parent-kit.ts
@@ -1,20 +1,20 @@
 // What a parent in a test needs beside its feed and its roll: no peers, no relays, nobody else's turn.
 import { Children } from '../src/membership/children.js';
 import type { Downlink } from '../src/membership/downlink.js';
-import type { Roll } from '../src/membership/roll.js';
+import type { MemberTable } from '../src/membership/member-table.js';
 import { Roster } from '../src/membership/roster.js';
-import { Turns } from '../src/membership/turns.js';
+import { TransferQueue } from '../src/membership/transfer-queue.js';
 import type { Feed } from '../src/news/feed.js';
 
 export const ParentKit = {
-  needs: (feed: Feed, roll: Roll, others: Partial<Downlink.Needs> = {}): Downlink.Needs => ({
+  needs: (feed: Feed, roll: MemberTable, others: Partial<Downlink.Options> = {}): Downlink.Options => ({
     feed,
-    roll,
+    members: roll,
     children: Children.of(roll),
     peers: () => [],
     relays: () => [],
     isRelay: () => false,
-    turns: Turns.of(),
+    transfers: TransferQueue.of(),
     roster: Roster.of(),
     version: '',
     age: () => 0,
--- a/test/platform-kit.ts
+++ b/test/platform-kit.ts
@@ -7,7 +7,7 @@
 import { stringify } from 'yaml';
 import { Id } from '../src/common/id.js';
 import type { View } from '../src/manifest/view.js';
-import { Roll } from '../src/membership/roll.js';
+import { MemberTable } from '../src/membership/member-table.js';
 import { Uplink } from '../src/membership/uplink.js';
 import { Feed } from '../src/news/feed.js';
 import { FleetKit } from '../tools/fleet-kit.js';
@@ -167,7 +167,7 @@
     };
     await Promise.all([...cores.map(startCore), ...fronts.map(startFront)]);
     const feed = Feed.of();
-    const roll = Roll.of(() => ({
+    const roll = MemberTable.of(() => ({
       node: 'observer',
       program: 'observer',
       zone: 'got-a',
@@ -183,11 +183,11 @@
     const boot = Id.boot();
     const uplink = Uplink.run({
       feed,
-      roll,
+      members: roll,
       seeds: cores.map((core) => `${core.ip}:${ports.wire}`),
       version: 'of the tests',
-      isFixed: true,
-      isUpward: true,
+      hasFixedCandidates: true,
+      reportsMembers: true,
       onRoster() {},
       onCold() {},
       note() {},
--- a/test/repair.test.ts
+++ b/test/repair.test.ts
@@ -8,8 +8,8 @@
 import { Compiled } from '../src/manifest/compiled.js';
 import { View } from '../src/manifest/view.js';
 import { Feed } from '../src/news/feed.js';
-import { Copies } from '../src/repair/copies.js';
 import { Ranges } from '../src/repair/ranges.js';
+import { ViewCache } from '../src/repair/view-cache.js';
 import { Frame } from '../src/wire/frame.js';
 import { Bench } from './bench.js';
 
@@ -82,7 +82,7 @@
         wanted.map(([one]) => one),
       );
       assert.ok(bodies(patch).every((one) => ['meta', rangeOf(after, name)].includes(one)));
-      assert.deepEqual(Ranges.mend(held, patch), after);
+      assert.deepEqual(Ranges.applyPatch(held, patch), after);
       const whole = View.encode(after).length;
       const sent = patch.ranges.reduce((sum, { body }) => sum + body.length, 0);
       assert.ok(sent < whole / 3, `${sent} of ${whole} bytes`);
@@ -103,7 +103,7 @@
       const patch = patchTo(after, Ranges.digests(Ranges.cut(first)));
       const lists = bodies(patch).filter((name) => name !== 'meta');
       assert.ok(lists.length <= 1, `${lists.join()} were sent`);
-      const mended = Ranges.mend(Ranges.cut(first), patch);
+      const mended = Ranges.applyPatch(Ranges.cut(first), patch);
       assert.equal(
         JSON.stringify(Object.entries(mended.manifest!.document.teams)),
         JSON.stringify(Object.entries(after.manifest!.document.teams)),
@@ -119,7 +119,7 @@
     };
     const patch = patchTo(same(6), Ranges.digests(Ranges.cut(same(5))));
     assert.ok(patch.ranges.length <= 3, `${patch.ranges.length} lines`);
-    assert.deepEqual(Ranges.mend(Ranges.cut(same(5)), patch), same(6));
+    assert.deepEqual(Ranges.applyPatch(Ranges.cut(same(5)), patch), same(6));
   });
   it('cuts and mends as earlier programs do where the other end is one', () => {
     const after = makeView(6, names.with(700, 'changed'));
@@ -127,8 +127,8 @@
     const patch = Ranges.patch(Ranges.cut(after, 'position'), Ranges.digests(earlier), false);
     assert.deepEqual(bodies(patch), ['meta', 'rules/21']);
     assert.equal(patch.ranges.length, Ranges.cut(after, 'position').size);
-    assert.deepEqual(Ranges.mend(earlier, patch, 'position'), after);
-    assert.throws(() => Ranges.mend(held, patch), /cannot be mended|another seal/);
+    assert.deepEqual(Ranges.applyPatch(earlier, patch, 'position'), after);
+    assert.throws(() => Ranges.applyPatch(held, patch), /cannot be mended|another seal/);
   });
   it('keeps what a change leaves alone as the very objects they were, read once and compiled once', () => {
     const bare = before.manifest!.document.rules.map(({ body: _body, ...rule }) => rule);
@@ -136,9 +136,9 @@
       ...before,
       manifest: { ...before.manifest!, document: { ...before.manifest!.document, rules: bare } },
     };
-    const start = Ranges.mend(Ranges.cut(View.empty), patchTo(plain as View, []));
+    const start = Ranges.applyPatch(Ranges.cut(View.empty), patchTo(plain as View, []));
     const after = { ...makeView(6, names, 71), manifest: plain.manifest } as View;
-    const mended = Ranges.mend(Ranges.cut(start), patchTo(after, Ranges.digests(Ranges.cut(start))));
+    const mended = Ranges.applyPatch(Ranges.cut(start), patchTo(after, Ranges.digests(Ranges.cut(start))));
     assert.deepEqual(mended, after);
     const document = start.manifest!.document;
     assert.equal(mended.manifest!.document.rules[999], document.rules[999]);
@@ -156,7 +156,7 @@
   });
 
   it('mends from nothing when the whole is sent', () => {
-    assert.deepEqual(Ranges.mend(Ranges.cut(View.empty), patchTo(before, [])), before);
+    assert.deepEqual(Ranges.applyPatch(Ranges.cut(View.empty), patchTo(before, [])), before);
   });
   it('compresses patches and views for those that read them so, over the wire, and for no others', () => {
     const after = makeView(6, names.with(700, 'changed').with(3, 'changed-too'));
@@ -165,40 +165,53 @@
       const frame = Frame.encode(Stamp.none, body);
       return { length: frame.length, body: Frame.decode(frame.subarray(4)) as unknown as T };
     };
-    const patch = Copies.patch(after, Ranges.digests(held), 'name');
-    assert.equal(Copies.patch(after, Ranges.digests(held), 'name'), patch);
+    const patch = ViewCache.patch(after, Ranges.digests(held), 'name');
+    assert.equal(ViewCache.patch(after, Ranges.digests(held), 'name'), patch);
     const plain = over({ kind: 'patch', ...patch, compressed: none } as const);
     const short = over({
       kind: 'patch',
       seal: patch.seal,
       ranges: [] as typeof patch.ranges,
-      compressed: Copies.compressedPatch(patch),
+      compressed: ViewCache.compressedPatch(patch),
     } as const);
     assert.ok(short.length < plain.length / 2, `${short.length} of ${plain.length} bytes`);
-    for (const { body } of [plain, short]) assert.deepEqual(Ranges.mend(held, Copies.readPatch(body)), after);
+    for (const { body } of [plain, short])
+      assert.deepEqual(Ranges.applyPatch(held, ViewCache.decodePatch(body)), after);
     assert.equal(plain.body.compressed.length, 0);
-    const whole = over({ kind: 'news', view: Copies.bytes(after), compressed: none } as const);
-    const news = over({ kind: 'news', view: none, compressed: Copies.compressedSmall(after) } as const);
+    const whole = over({ kind: 'news', view: ViewCache.bytes(after), compressed: none } as const);
+    const news = over({ kind: 'news', view: none, compressed: ViewCache.compressedSmall(after) } as const);
     assert.ok(news.length < whole.length / 4, `${news.length} of ${whole.length} bytes`);
-    for (const { body } of [whole, news]) assert.deepEqual(Copies.read(body), after);
+    for (const { body } of [whole, news]) assert.deepEqual(ViewCache.decodeView(body), after);
   });
   it('takes nothing compressed that cannot be read', () => {
     const damaged = Buffer.from('no such thing');
-    assert.throws(() => Copies.read({ view: new Uint8Array(), compressed: damaged }), /cannot be read/);
-    assert.throws(() => Copies.readPatch({ seal: '', ranges: [], compressed: damaged }), /cannot be read/);
+    assert.throws(
+      () => ViewCache.decodeView({ view: new Uint8Array(), compressed: damaged }),
+      /cannot be read/,
+    );
+    assert.throws(
+      () => ViewCache.decodePatch({ seal: '', ranges: [], compressed: damaged }),
+      /cannot be read/,
+    );
   });
   it('takes no view that lacks a range, has a changed one, or has another seal', () => {
     const patch = patchTo(makeView(6, names.with(700, 'changed')));
-    assert.throws(() => Ranges.mend(Ranges.cut(View.empty), patch), /cannot be mended/);
+    assert.throws(() => Ranges.applyPatch(Ranges.cut(View.empty), patch), /cannot be mended/);
     const place = rangeOf(makeView(6, names.with(700, 'changed')), 'changed');
     const forged = patch.ranges.map((range) =>
       range.name === place ? { ...range, body: range.body.replace('changed', 'altered') } : range,
     );
-    assert.throws(() => Ranges.mend(held, { ...patch, ranges: forged }), /cannot be mended/);
-    assert.throws(() => Ranges.mend(held, { ...patch, ranges: patch.ranges.slice(0, -1) }), /another seal/);
+    assert.throws(() => Ranges.applyPatch(held, { ...patch, ranges: forged }), /cannot be mended/);
+    assert.throws(
+      () => Ranges.applyPatch(held, { ...patch, ranges: patch.ranges.slice(0, -1) }),
+      /another seal/,
+    );
     const longer = patch.ranges.map((range) =>
       range.count > 1 ? { ...range, count: range.count + 1 } : range,
     );
-    assert.throws(() => Ranges.mend(held, { ...patch, ranges: longer }), /cannot be mended|another seal/);
+    assert.throws(
+      () => Ranges.applyPatch(held, { ...patch, ranges: longer }),
+      /cannot be mended|another seal/,
+    );
   });
 });
--- a/test/rolls.test.ts
+++ b/test/rolls.test.ts
@@ -4,7 +4,7 @@
 import { after, before, describe, it } from 'node:test';
 import { Stamp } from '../src/common/stamp.js';
 import { Downlink } from '../src/membership/downlink.js';
-import { Roll } from '../src/membership/roll.js';
+import { MemberTable } from '../src/membership/member-table.js';
 import { Roster } from '../src/membership/roster.js';
 import { Uplink } from '../src/membership/uplink.js';
 import { Feed } from '../src/news/feed.js';
@@ -35,72 +35,72 @@
   via: '',
   ...part,
 });
-const rollOf = (node: string) => Roll.of(() => said(node, { program: 'agent' }));
-const nodesOf = (roll: Roll) => roll.all().map((one) => one.node);
+const rollOf = (node: string) => MemberTable.of(() => said(node, { program: 'agent' }));
+const nodesOf = (roll: MemberTable) => roll.all().map((one) => one.node);
 const below = Array.from({ length: 40 }, (_none, index) => `below-${index}`);
 
 describe('roll', () => {
   const lay = () => {
     const [child, parent] = [rollOf('child'), rollOf('parent')];
-    child.note(
+    child.update(
       below.map((node) => entry(node, 1)),
       'leaf',
       true,
     );
-    parent.replace([child.self(), ...child.below()], 'child', true);
+    parent.replace([child.self(), ...child.descendants()], 'child', true);
     return { child, parent };
   };
   it('takes a heartbeat for all entries that are the same, and for none when one is not', () => {
     const { child, parent } = lay();
-    assert.equal(parent.confirm(child.heartbeat(), 'child'), true);
-    child.note([entry('below-3', 2, { ready: false })], 'leaf', true);
-    assert.equal(parent.confirm(child.heartbeat(), 'child'), false);
-    parent.note([child.get('below-3')!], 'child', true);
-    assert.equal(parent.confirm(child.heartbeat(), 'child'), true);
-    child.note([entry('one-more', 1)], 'leaf', true);
-    assert.equal(parent.confirm(child.heartbeat(), 'child'), false);
-    assert.equal(parent.confirm(child.heartbeat(), 'another'), false);
+    assert.equal(parent.applyHeartbeat(child.heartbeat(), 'child'), true);
+    child.update([entry('below-3', 2, { ready: false })], 'leaf', true);
+    assert.equal(parent.applyHeartbeat(child.heartbeat(), 'child'), false);
+    parent.update([child.get('below-3')!], 'child', true);
+    assert.equal(parent.applyHeartbeat(child.heartbeat(), 'child'), true);
+    child.update([entry('one-more', 1)], 'leaf', true);
+    assert.equal(parent.applyHeartbeat(child.heartbeat(), 'child'), false);
+    assert.equal(parent.applyHeartbeat(child.heartbeat(), 'another'), false);
   });
   it('makes young again what a heartbeat speaks for, and gives what it names its true age', () => {
     const { child, parent } = lay();
-    parent.note([entry('below-0', 2, { age: 3000 })], 'child', true);
-    assert.equal(parent.confirm(child.heartbeat(), 'child'), true);
+    parent.update([entry('below-0', 2, { age: 3000 })], 'child', true);
+    assert.equal(parent.applyHeartbeat(child.heartbeat(), 'child'), true);
     assert.ok(parent.get('below-0')!.age < 3000);
-    child.note([entry('below-7', 2, { age: 3500 })], 'leaf', true);
+    child.update([entry('below-7', 2, { age: 3500 })], 'leaf', true);
     const heartbeat = child.heartbeat();
     assert.deepEqual(
       heartbeat.stale.map(({ node }) => node),
       ['below-7'],
     );
     assert.ok(parent.get('below-7')!.age < 3000);
-    assert.equal(parent.confirm(heartbeat, 'child'), true);
+    assert.equal(parent.applyHeartbeat(heartbeat, 'child'), true);
     assert.ok(parent.get('below-7')!.age >= 3500);
     assert.ok(parent.heartbeat().stale.some(({ node }) => node === 'below-7'));
   });
   it('lets age what was struck off or is missing in the whole, until it comes another way', () => {
     const { child, parent } = lay();
-    parent.strike(['below-1'], 'another');
-    assert.equal(parent.confirm(child.heartbeat(), 'child'), true);
-    parent.strike(['below-1'], 'child');
-    assert.equal(parent.confirm(child.heartbeat(), 'child'), false);
-    assert.ok(parent.get('below-1')!.age >= Roll.staleAfter / 2);
-    assert.ok(parent.get('below-3')!.age < Roll.staleAfter / 2);
-    const others = child.below().filter(({ node }) => node !== 'below-2');
+    parent.markDeparted(['below-1'], 'another');
+    assert.equal(parent.applyHeartbeat(child.heartbeat(), 'child'), true);
+    parent.markDeparted(['below-1'], 'child');
+    assert.equal(parent.applyHeartbeat(child.heartbeat(), 'child'), false);
+    assert.ok(parent.get('below-1')!.age >= MemberTable.expiryMs / 2);
+    assert.ok(parent.get('below-3')!.age < MemberTable.expiryMs / 2);
+    const others = child.descendants().filter(({ node }) => node !== 'below-2');
     parent.replace([child.self(), ...others], 'child', true);
-    assert.equal(parent.confirm(child.heartbeat(), 'child'), false);
-    parent.note([entry('below-2', 2)], 'elsewhere', true);
+    assert.equal(parent.applyHeartbeat(child.heartbeat(), 'child'), false);
+    parent.update([entry('below-2', 2)], 'elsewhere', true);
     assert.equal(parent.get('below-2')?.via, 'elsewhere');
-    parent.replace([child.self(), ...child.below()], 'child', true);
+    parent.replace([child.self(), ...child.descendants()], 'child', true);
     assert.equal(parent.get('below-2')?.via, 'elsewhere');
   });
   it('ends entries of which nothing came for long, and tells who watches', () => {
     const { child } = lay();
     const seen: string[] = [];
     child.watch((changed) => seen.push(...changed));
-    child.note([entry('below-5', 2, { age: Roll.staleAfter + 1 })], 'leaf', true);
+    child.update([entry('below-5', 2, { age: MemberTable.expiryMs + 1 })], 'leaf', true);
     assert.equal(child.heartbeat().count, below.length);
     assert.deepEqual(seen, ['below-5']);
-    child.forget('leaf');
+    child.removeVia('leaf');
     assert.equal(seen.length, below.length);
     assert.deepEqual(nodesOf(child), ['child']);
   });
@@ -142,35 +142,35 @@
 
   it('passes up the whole once, then what changed and heartbeats, and the whole again when asked', async () => {
     const child = rollOf('child');
-    child.note(
+    child.update(
       below.map((node) => entry(node, 1)),
       'leaf',
       true,
     );
     const keep = setInterval(() => {
-      const entries = child.below().map((one) => ({ ...one, counter: one.counter + 1, age: 0 }));
-      child.note(entries, 'leaf', true);
+      const entries = child.descendants().map((one) => ({ ...one, counter: one.counter + 1, age: 0 }));
+      child.update(entries, 'leaf', true);
     }, 500);
     const uplink = Uplink.run({
       feed: Feed.of(),
-      roll: child,
+      members: child,
       seeds: [LinkServer.text(doorway)],
       version: '',
-      isFixed: true,
-      isUpward: true,
+      hasFixedCandidates: true,
+      reportsMembers: true,
       note: () => {},
     });
     try {
-      const beats = Math.ceil(Roll.staleAfter / 1000) + 2;
+      const beats = Math.ceil(MemberTable.expiryMs / 1000) + 2;
       await met(() => (counts.get('heartbeat') ?? 0) >= beats);
       assert.equal(counts.get('whole'), 1);
       assert.equal(counts.get('changes') ?? 0, 0);
       assert.equal(nodesOf(parent).length, below.length + 2);
-      child.note([entry('below-9', 1000, { stamp: Stamp.of(1, 2) })], 'leaf', true);
+      child.update([entry('below-9', 1000, { stamp: Stamp.of(1, 2) })], 'leaf', true);
       await met(() => parent.get('below-9')?.stamp.revision === 2);
       assert.equal(counts.get('whole'), 1);
       assert.equal(counts.get('changes'), 1);
-      parent.forget('child');
+      parent.removeVia('child');
       assert.deepEqual(nodesOf(parent), ['parent']);
       await met(() => nodesOf(parent).length === below.length + 2);
       assert.equal(counts.get('whole'), 2);
@@ -228,11 +228,11 @@
     roster.set(names);
     const uplink = Uplink.run({
       feed: Feed.of(),
-      roll: rollOf('listener'),
+      members: rollOf('listener'),
       seeds: [LinkServer.text(doorway)],
       version: '',
-      isFixed: true,
-      isUpward: true,
+      hasFixedCandidates: true,
+      reportsMembers: true,
       onRoster(proxies) {
         heard.push(proxies);
         came();
--- a/test/word.test.ts
+++ b/test/word.test.ts
@@ -5,7 +5,7 @@
 import { Stamp } from '../src/common/stamp.js';
 import { View } from '../src/manifest/view.js';
 import { Downlink } from '../src/membership/downlink.js';
-import { Roll } from '../src/membership/roll.js';
+import { MemberTable } from '../src/membership/member-table.js';
 import { Feed } from '../src/news/feed.js';
 import type { Frame } from '../src/wire/frame.js';
 import { Link } from '../src/wire/link.js';
@@ -22,7 +22,7 @@
 };
 
 const rollOf = (node: string) =>
-  Roll.of(() => ({
+  MemberTable.of(() => ({
     node,
     program: 'agent',
     zone: 'a-1',
@@ -40,18 +40,18 @@
   it('is told once for each view, when it first names the view held', () => {
     const feed = Feed.of(viewOf(1));
     let told = 0;
-    const unwatch = feed.watchWord(() => {
+    const unwatch = feed.watchConfirmed(() => {
       told += 1;
     });
-    feed.hear(0, Stamp.of(1, 0));
+    feed.recordPing(0, Stamp.of(1, 0));
     assert.equal(told, 0);
-    feed.hear(0, Stamp.of(1, 1));
-    feed.hear(-1, Stamp.of(1, 1));
+    feed.recordPing(0, Stamp.of(1, 1));
+    feed.recordPing(-1, Stamp.of(1, 1));
     assert.equal(told, 1);
     feed.offer(viewOf(2));
-    feed.hear(-2, Stamp.of(1, 1));
+    feed.recordPing(-2, Stamp.of(1, 1));
     assert.equal(told, 1);
-    feed.hear(-3, Stamp.of(1, 2));
+    feed.recordPing(-3, Stamp.of(1, 2));
     assert.equal(told, 2);
     unwatch();
   });
@@ -81,7 +81,7 @@
         if (frame.kind === 'ping') pings.push(frame.age);
         if (frame.kind === 'roster') {
           age = 7;
-          feed.hear(0, Stamp.of(1, 1));
+          feed.recordPing(0, Stamp.of(1, 1));
           age = 1;
         }
         if (pings.includes(7)) break;
@@ -104,7 +104,7 @@
       age: () => 0,
       note: () => {},
       serve: (link, hello, frames) =>
-        Downlink.serve(link, hello, frames, ParentKit.needs(feed, roll, { isFirstHand: () => isFirstHand })),
+        Downlink.serve(link, hello, frames, ParentKit.needs(feed, roll, { isViewSource: () => isFirstHand })),
     });
     const open = async (program: 'control' | 'agent') => {
       const link = await Link.open(doorway.address, { stamp: () => Stamp.of(1, 1), age: () => 0 });
--- a/tools/plants/plants.ts
+++ b/tools/plants/plants.ts
@@ -129,7 +129,7 @@
   {
     ...common,
     name: 'a node that starts empty serves under whatever it is handed',
-    file: 'src/news/voucher.js',
+    file: 'src/news/view-confirmation.js',
     from: "if (phase.is('vouched') || !feed.view().manifest)\n                return;",
     to: "if (phase.is('vouched') || !feed.view().manifest) return; return phase.transitionTo('vouched');",
     judge: 'noDriftBack',
--- a/tools/scale/parts.ts
+++ b/tools/scale/parts.ts
@@ -6,8 +6,8 @@
 import { Check } from '../../src/manifest/check.js';
 import { Compiled } from '../../src/manifest/compiled.js';
 import { View } from '../../src/manifest/view.js';
-import { Copies } from '../../src/repair/copies.js';
 import { Ranges } from '../../src/repair/ranges.js';
+import { ViewCache } from '../../src/repair/view-cache.js';
 import { State } from '../../src/store/state.js';
 import { World } from './world.js';
 
@@ -61,7 +61,7 @@
     servers,
     tenants,
     wholeBytes: View.encode(after).length,
-    compressedBytes: (await Copies.compressed(after)).length,
+    compressedBytes: (await ViewCache.compressed(after)).length,
     patchBytes: JSON.stringify(patch).length,
     oneTeamBytes: teamBytes.sort((a, b) => a - b)[Math.floor(teamBytes.length / 2)],
     ranges: held.size,
@@ -71,7 +71,7 @@
     encode: median(() => View.encode(after)),
     decode: median(() => View.decode(View.encode(after))),
     cut: median(() => Ranges.cut(after)),
-    mend: median(() => Ranges.mend(held, patch)),
+    mend: median(() => Ranges.applyPatch(held, patch)),
     compile: median(() => Compiled.of(after)),
   };
   process.stdout.write(`${JSON.stringify(row)}\n`);
