--- a/src/agent/program.ts
+++ b/src/agent/program.ts
@@ -1,5 +1,7 @@
-// The agent as a program: its session with the control plane, the relay it is in the news tree, and the
-// feed of its proxy over loopback. What the proxy still holds refills an agent that came back empty.
+/**
+ * The agent program: its session with the control plane, its part as a relay in the tree of views, and the link to the
+ * proxy of its machine over loopback. The view that the proxy still holds is handed to an agent that restarted empty.
+ */
 import { Address } from '../common/address.js';
 import { Id } from '../common/id.js';
 import { Listen } from '../common/listen.js';
@@ -22,24 +24,27 @@
 import { LinkPair } from '../wire/link-pair.js';
 import { LinkServer } from '../wire/link-server.js';
 
-export type Agent = { readonly start: (startup: Agent.Startup, ring: LogBuffer) => Promise<Agent.Running> };
+/** The agent program. */
+export type Agent = { readonly start: (startup: Agent.Startup, log: LogBuffer) => Promise<Agent.Running> };
 
+/** Settings and the running program. */
 export declare namespace Agent {
-  /** Without a feed address the proxy is in this process and comes by `join`. */
+  /** Without a feed address the proxy runs in this process and connects by `join`. */
   type Startup = Omit<Settings['agent'], 'feed'> & { readonly feed?: string };
-  type Running = Program & { readonly join: (terms: Link.Options) => Link };
+  type Running = Program & { readonly join: (linkOptions: Link.Options) => Link };
 }
 
+/** Starts the agent. */
 export const Agent: Agent = {
-  async start(startup, ring) {
+  async start(startup, log) {
     const feed = Feed.of();
-    const voucher = ViewConfirmation.of(feed, () => ring.info('vouched for', { stamp: feed.stamp() }));
+    const confirmation = ViewConfirmation.of(feed, () => log.info('view confirmed', { stamp: feed.stamp() }));
     const boot = Id.boot();
     let wire = '';
     let depth = 1;
-    let opsText = '';
+    let opsAddress = '';
     let isDraining = false;
-    const roll: MemberTable = MemberTable.of(() => ({
+    const members: MemberTable = MemberTable.of(() => ({
       node: startup.node,
       program: 'agent',
       zone: startup.zone,
@@ -47,24 +52,24 @@
       stamp: feed.stamp(),
       http: '',
       wire,
-      ops: opsText,
+      ops: opsAddress,
       depth,
       ready: !isDraining,
-      vouched: voucher.isConfirmed(),
+      vouched: confirmation.isConfirmed(),
     }));
     const peers = () => uplink.candidates();
-    const children = Children.of(roll);
-    const turns = TransferQueue.of();
+    const children = Children.of(members);
+    const transfers = TransferQueue.of();
     const roster = Roster.of();
     const serve: LinkServer.Options['serve'] = (link, hello, frames) =>
       Downlink.serve(link, hello, frames, {
         feed,
-        members: roll,
+        members,
         children,
         peers,
         relays: () => [],
         isRelay: () => false,
-        transfers: turns,
+        transfers,
         roster,
         onCold: ({ stamp: _stamp, ...body }) => void uplink.send(body),
         onFailures: (failed) => void uplink.send({ kind: 'failures', failed }),
@@ -72,27 +77,31 @@
         age: feed.age,
         onTokens: ({ stamp: _stamp, ...body }) => void uplink.send(body),
       });
-    const terms = { stamp: feed.stamp, age: feed.age, pingsWhenBusy: true, serve, note: ring.info };
-    const doorway = await LinkServer.open({ ...terms, address: Address.checked(startup.wire) });
-    wire = LinkServer.text(doorway);
+    const linkOptions = { stamp: feed.stamp, age: feed.age, pingsWhenBusy: true, serve, note: log.info };
+    const linkServer = await LinkServer.open({ ...linkOptions, address: Address.checked(startup.wire) });
+    wire = LinkServer.text(linkServer);
     const serveProxy: LinkServer.Options['serve'] = (link, hello, frames) => {
-      if (hello.self.vouched) voucher.confirmFrom(hello.stamp);
+      if (hello.self.vouched) confirmation.confirmFrom(hello.stamp);
       return serve(link, hello, frames);
     };
-    const inner =
+    const proxyLinkServer =
       startup.feed === undefined
         ? undefined
-        : await LinkServer.open({ ...terms, address: Address.checked(startup.feed), serve: serveProxy });
-    const joined = new Set<Link>();
+        : await LinkServer.open({
+            ...linkOptions,
+            address: Address.checked(startup.feed),
+            serve: serveProxy,
+          });
+    const localLinks = new Set<Link>();
     const uplink: Uplink = Uplink.run({
       feed,
-      members: roll,
+      members,
       seeds: startup.seeds,
       version: Version,
       reportsMembers: true,
       onPing() {
-        voucher.check();
-        for (const link of joined) link.send({ kind: 'ping', age: feed.age() });
+        confirmation.check();
+        for (const link of localLinks) link.send({ kind: 'ping', age: feed.age() });
       },
       onRoster: roster.set,
       onLoads: (loads) => children.broadcast({ kind: 'loads', loads }),
@@ -103,7 +112,7 @@
         depth = parent.depth + 1;
       },
       onTokens: ({ stamp: _stamp, ...body }) => void children.send(body.node, body),
-      note: ring.info,
+      note: log.info,
     });
     const metrics = Metrics.of();
     const { gauge } = metrics;
@@ -113,14 +122,14 @@
     gauge(
       'links_dropped',
       'links closed for what they sent',
-      () => doorway.refusedCount() + (inner?.refusedCount() ?? 0),
+      () => linkServer.refusedCount() + (proxyLinkServer?.refusedCount() ?? 0),
     );
     gauge('frames_unknown', 'frames dropped since their kind is not known here', Frame.unknownCount);
     gauge('news_dropped', 'news dropped as not newer', feed.ignoredCount);
     const ops = Ops.of({
       isReady: () => (isDraining ? 'draining' : undefined),
       metrics,
-      ring,
+      ring: log,
       describe: () => ({
         node: startup.node,
         boot,
@@ -131,21 +140,31 @@
         version: Version,
       }),
     }).server();
-    opsText = Address.text(await Listen(ops, Address.checked(startup.ops)));
+    opsAddress = Address.text(await Listen(ops, Address.checked(startup.ops)));
     return {
-      ready: { wire, ...(inner ? { feed: LinkServer.text(inner) } : {}), ops: opsText },
-      join(theirs) {
-        const [own, other] = LinkPair.of({ stamp: feed.stamp, age: feed.age }, theirs, startup.node);
-        joined.add(own);
-        void LinkServer.serveLink(own, { ...terms, serve: serveProxy }).finally(() => joined.delete(own));
-        return other;
+      ready: {
+        wire,
+        ...(proxyLinkServer ? { feed: LinkServer.text(proxyLinkServer) } : {}),
+        ops: opsAddress,
+      },
+      join(proxyOptions) {
+        const [agentEnd, proxyEnd] = LinkPair.of(
+          { stamp: feed.stamp, age: feed.age },
+          proxyOptions,
+          startup.node,
+        );
+        localLinks.add(agentEnd);
+        void LinkServer.serveLink(agentEnd, { ...linkOptions, serve: serveProxy }).finally(() =>
+          localLinks.delete(agentEnd),
+        );
+        return proxyEnd;
       },
       async drain() {
         isDraining = true;
         uplink.stop();
         await uplink.done;
-        for (const link of joined) link.close();
-        await Promise.all([doorway.close(), inner?.close()]);
+        for (const link of localLinks) link.close();
+        await Promise.all([linkServer.close(), proxyLinkServer?.close()]);
         ops.close();
       },
     };
--- a/src/membership/downlink.ts
+++ b/src/membership/downlink.ts
@@ -1,8 +1,11 @@
-// The upper end of a session: one task per child. The child says who it is, gets the peers and the
-// newest view, and from then on every newer one, and the peers again when they are others; what the child
-// tells of the nodes below it goes on the roll. When the child holds a newer view than we do, we ask for it, if no
-// other child was just asked. A child that came with the view that is held here is sent only what changes of it. A core
-// that is not the source of the news tells other cores only that it has them: they hear them there, and ask for the rest.
+/**
+ * The parent's end of a session: one task per child. The child introduces itself and receives the peers and the newest
+ * view, from then on every newer view, and the peers again when they change. The nodes that the child reports below it
+ * are entered in the member table. When the child holds a newer view than this node, this node asks for it, unless
+ * another child was asked just before. A child that joins with the view held here is sent only later changes. A core
+ * that is not the source of views sends other cores only its stamp: they receive the views from the source, and ask for
+ * what they miss.
+ */
 import { match } from 'ts-pattern';
 import { Failure } from '../common/failure.js';
 import { Stamp } from '../common/stamp.js';
@@ -18,141 +21,151 @@
 import type { TransferQueue } from './transfer-queue.js';
 import { ViewSender } from './view-sender.js';
 
+/** A session with one child. */
 export type Downlink = { readonly node: string };
 
+/** Options of a session with a child. */
 export declare namespace Downlink {
   type Options = {
     readonly feed: Feed;
     readonly members: MemberTable;
+    /** The addresses of other possible parents, which the child keeps. */
     readonly peers: (child: Frame.Entry) => readonly string[];
+    /** The addresses of relays that the child should join instead; empty when it should stay. */
     readonly relays: (child: Frame.Entry) => readonly string[];
+    /** Whether the child passes views on to other nodes. */
     readonly isRelay: (child: Frame.Entry) => boolean;
     readonly transfers: TransferQueue;
     readonly version: string;
+    /** The age of the last message from the primary, in milliseconds. */
     readonly age: () => number;
     readonly children: Children;
     readonly onTokens: (frame: Extract<Frame, { kind: 'tokens' }>) => void;
     readonly onCold: (frame: Extract<Frame, { kind: 'cold' }>) => void;
     readonly roster: Roster;
+    /** Whether this core sends views to other cores; true when absent. */
     readonly isViewSource?: () => boolean;
     readonly onFailures?: (failed: readonly Frame.Failed[]) => void;
   };
 }
 
-const lookEvery = 1000;
+/** Interval at which a child is told of relays and changed peers. */
+const relayCheckIntervalMs = 1000;
 
+/** Serves the sessions of children. */
 export const Downlink = {
+  /** Serves one child until its link is closed. */
   async serve(
     link: Link,
     hello: Extract<Frame, { kind: 'hello' }>,
     frames: AsyncGenerator<Frame, void, void>,
-    needs: Downlink.Options,
+    options: Downlink.Options,
   ): Promise<void> {
-    const { feed, members: roll } = needs;
+    const { feed, members } = options;
     const node = hello.self.node;
     const isPeer = hello.self.program === 'control';
     const isSame = Stamp.isSame(hello.self.stamp, feed.stamp());
     const protocol = Protocol.negotiate(hello.protocol);
-    const dispatch = ViewSender.of({
+    const viewSender = ViewSender.of({
       link,
       feed,
-      transfers: needs.transfers,
+      transfers: options.transfers,
       protocol,
-      isFirst: () => needs.isRelay(hello.self),
+      isFirst: () => options.isRelay(hello.self),
       isSame,
-      age: needs.age,
+      age: options.age,
     });
-    const sendWord = () => link.send({ kind: 'ping', age: needs.age() });
-    const passOn = () => {
-      if (!isPeer || !needs.isViewSource || needs.isViewSource()) dispatch.send();
-      else sendWord();
+    const sendPing = () => link.send({ kind: 'ping', age: options.age() });
+    const sendView = () => {
+      if (!isPeer || !options.isViewSource || options.isViewSource()) viewSender.send();
+      else sendPing();
     };
-    const compare = (theirs: Stamp) => {
-      if (Stamp.isNewer(theirs, feed.stamp()) && needs.transfers.mayRequest(theirs))
+    const compareStamps = (theirs: Stamp) => {
+      if (Stamp.isNewer(theirs, feed.stamp()) && options.transfers.mayRequest(theirs))
         link.send({ kind: 'ask', digests: [] });
-      dispatch.markHeld(theirs);
+      viewSender.markHeld(theirs);
     };
-    let told = '';
-    const peersNow = () => {
-      const peers = [...needs.peers(hello.self)];
-      const isNew = peers.join() !== told;
-      told = peers.join();
+    let lastPeers = '';
+    const currentPeers = () => {
+      const peers = [...options.peers(hello.self)];
+      const isNew = peers.join() !== lastPeers;
+      lastPeers = peers.join();
       return { peers, isNew };
     };
-    const tellPeers = () => {
-      const { peers, isNew } = peersNow();
+    const sendPeers = () => {
+      const { peers, isNew } = currentPeers();
       if (isNew) link.send({ kind: 'peers', peers });
     };
-    const knowsChanges = protocol >= Protocol.heartbeats;
-    const rosterWhole = () => {
-      const proxies = [...needs.roster.names()];
+    const supportsChanges = protocol >= Protocol.heartbeats;
+    const sendFullRoster = () => {
+      const proxies = [...options.roster.names()];
       const digest = Roster.digestOf(proxies);
       link.send({ kind: 'roster', proxies, added: [], departed: [], digest, whole: true });
     };
-    const rosterChanged = (change: Roster.Change) => {
-      if (knowsChanges) link.send({ kind: 'roster', proxies: [], whole: false, ...change });
-      else rosterWhole();
+    const sendRosterChange = (change: Roster.Change) => {
+      if (supportsChanges) link.send({ kind: 'roster', proxies: [], whole: false, ...change });
+      else sendFullRoster();
     };
-    const unwatch = [
-      feed.watch(passOn),
-      feed.watchConfirmed(sendWord),
-      isPeer ? () => {} : needs.roster.watch(rosterChanged),
+    const subscriptions = [
+      feed.watch(sendView),
+      feed.watchConfirmed(sendPing),
+      isPeer ? () => {} : options.roster.watch(sendRosterChange),
     ];
-    needs.children.add(node, link);
-    const looks = Timer.every(lookEvery, () => {
-      const relays = needs.relays(hello.self);
+    options.children.add(node, link);
+    const relayTimer = Timer.every(relayCheckIntervalMs, () => {
+      const relays = options.relays(hello.self);
       if (relays.length > 0) link.send({ kind: 'lower', relays: [...relays] });
-      tellPeers();
+      sendPeers();
     });
     try {
-      roll.update([hello.self], node, !isPeer);
+      members.update([hello.self], node, !isPeer);
       link.send({
         kind: 'welcome',
-        self: roll.self(),
-        peers: peersNow().peers,
-        relays: [...needs.relays(hello.self)],
-        version: needs.version,
-        age: needs.age(),
+        self: members.self(),
+        peers: currentPeers().peers,
+        relays: [...options.relays(hello.self)],
+        version: options.version,
+        age: options.age(),
         protocol,
       });
-      rosterChanged({ added: [], departed: [], digest: Roster.digestOf(needs.roster.names()) });
-      if (isSame) sendWord();
-      compare(hello.self.stamp);
+      sendRosterChange({ added: [], departed: [], digest: Roster.digestOf(options.roster.names()) });
+      if (isSame) sendPing();
+      compareStamps(hello.self.stamp);
       for await (const frame of frames) {
         if (frame.kind === 'ping') {
-          compare(frame.stamp);
+          compareStamps(frame.stamp);
           continue;
         }
         match(frame)
           .with({ kind: 'roll' }, ({ entries, whole, departed, stamp }) => {
-            compare(stamp);
-            if (whole) roll.replace(entries, node, !isPeer);
-            else roll.update(entries, node, !isPeer);
-            roll.markDeparted(departed, node);
+            compareStamps(stamp);
+            if (whole) members.replace(entries, node, !isPeer);
+            else members.update(entries, node, !isPeer);
+            members.markDeparted(departed, node);
           })
           .with({ kind: 'heartbeat' }, (heartbeat) => {
-            compare(heartbeat.stamp);
-            if (!roll.applyHeartbeat(heartbeat, node)) link.send({ kind: 'inquire', what: 'roll' });
+            compareStamps(heartbeat.stamp);
+            if (!members.applyHeartbeat(heartbeat, node)) link.send({ kind: 'inquire', what: 'roll' });
           })
           .with({ kind: 'inquire' }, ({ what }) => {
-            if (what === 'roster') rosterWhole();
+            if (what === 'roster') sendFullRoster();
           })
-          .with({ kind: 'ask' }, ({ digests }) => dispatch.handleRequest(digests))
+          .with({ kind: 'ask' }, ({ digests }) => viewSender.handleRequest(digests))
           .with({ kind: 'news' }, (news) => {
             feed.offer(ViewCache.decodeView(news));
           })
-          .with({ kind: 'tokens' }, needs.onTokens)
-          .with({ kind: 'failures' }, ({ failed }) => needs.onFailures?.(failed))
-          .with({ kind: 'cold' }, needs.onCold)
+          .with({ kind: 'tokens' }, options.onTokens)
+          .with({ kind: 'failures' }, ({ failed }) => options.onFailures?.(failed))
+          .with({ kind: 'cold' }, options.onCold)
           .otherwise(({ kind }) => {
             throw Failure.of('frame', `unexpected ${kind} from a child`, { node });
           });
       }
     } finally {
-      for (const end of unwatch) end();
-      looks.stop();
-      needs.children.remove(node, link);
-      roll.removeVia(node);
+      for (const unsubscribe of subscriptions) unsubscribe();
+      relayTimer.stop();
+      options.children.remove(node, link);
+      members.removeVia(node);
     }
   },
 };
--- a/src/membership/member-table.ts
+++ b/src/membership/member-table.ts
@@ -1,28 +1,41 @@
-// The roll says which nodes are members: each entry left its node some time ago (its age, counted on
-// monotonic clocks along the way) and ends when nothing newer came for a while. Entries that came up
-// from below are passed on upwards; entries told by peers are only kept. Who watches is told which entries from
-// below changed or ended, so that only those need to be passed on at once. In between a heartbeat speaks for all the
-// others: their count and a digest, and by name and age those that were not heard of lately, which go on ageing above.
+/**
+ * The table of members. Each entry was sent by its node some time ago (its age, counted on the monotonic clocks of the
+ * nodes along the way) and expires when nothing newer arrives for a while. Entries received from below are passed on
+ * upwards; entries received from peers are only kept. Watchers are told which entries from below changed or expired, so
+ * that only those need to be passed on at once. Between changes a heartbeat confirms all others by their count and a
+ * digest. It lists with their age the entries that were not renewed lately, which continue to age at the parent.
+ */
 import { createHash } from 'node:crypto';
 import { Instant } from '../common/instant.js';
 import type { Frame } from '../wire/frame.js';
 
+/** The members that a node knows. */
 export type MemberTable = {
   readonly self: () => Frame.Entry;
+  /** Enters newer entries, received through the node `via`. */
   readonly update: (entries: readonly Frame.Entry[], via: string, isBelow: boolean) => void;
+  /** Enters the complete list of `via`; its other entries count as departed. */
   readonly replace: (entries: readonly Frame.Entry[], via: string, isBelow: boolean) => void;
+  /** Lets the entries of these nodes expire soon, unless they arrive through another node. */
   readonly markDeparted: (nodes: readonly string[], via: string) => void;
+  /** Removes all entries from below that were received through this node. */
   readonly removeVia: (via: string) => void;
+  /** Summarizes this node and all entries from below. */
   readonly heartbeat: () => MemberTable.Heartbeat;
+  /** Renews the entries received through `via`; false when they differ from those that the heartbeat summarizes. */
   readonly applyHeartbeat: (heartbeat: MemberTable.Heartbeat, via: string) => boolean;
   readonly digestOf: (entry: Frame.Entry) => string;
+  /** The entries received from below. */
   readonly descendants: () => readonly Frame.Entry[];
   readonly all: () => readonly Frame.Entry[];
   readonly get: (node: string) => Frame.Entry | undefined;
+  /** Milliseconds since a node joined or restarted. */
   readonly sinceLastJoin: () => number;
-  readonly watch: (see: (changed: readonly string[]) => void) => () => void;
+  /** Calls back with the nodes whose entries from below changed; returns a function that ends it. */
+  readonly watch: (listener: (changed: readonly string[]) => void) => () => void;
 };
 
+/** The parts of a member table. Field names are those of the protobuf schema. */
 export declare namespace MemberTable {
   type Heartbeat = {
     readonly count: number;
@@ -31,7 +44,8 @@
   };
 }
 
-type Held = {
+/** An entry; `left` is when its node sent it, and `isListed` whether its sender still reports it. */
+type Member = {
   readonly entry: Frame.Entry;
   readonly digest: bigint;
   readonly isBelow: boolean;
@@ -39,14 +53,17 @@
   isListed: boolean;
 };
 
+/** Age at which an entry expires. */
 const expiryTimeoutMs = 4000;
-const freshFor = 2000;
-const movesWithin = 2000;
+/** Up to this age an entry is covered by the digest of a heartbeat. */
+const freshnessMs = 2000;
+/** Time in which a node that left its parent has to appear elsewhere. */
+const departureTimeoutMs = 2000;
 
-// What an entry says of its node, without how and when it came.
+/** A digest of what an entry says about its node, without when and through whom it was received. */
 const digestOf = ({ counter: _counter, age: _age, via: _via, stamp, ...rest }: Frame.Entry): bigint => {
   const { node, program, zone, boot, http, wire, ops, depth, ready, vouched } = rest;
-  const said = [
+  const fields = [
     node,
     program,
     zone,
@@ -60,45 +77,49 @@
     ready,
     vouched,
   ];
-  return createHash('sha256').update(JSON.stringify(said)).digest().readBigUInt64BE();
+  return createHash('sha256').update(JSON.stringify(fields)).digest().readBigUInt64BE();
 };
-const together = (digests: readonly bigint[]): string =>
-  digests.reduce((sum, one) => sum ^ one, 0n).toString(16);
+const combineDigests = (digests: readonly bigint[]): string =>
+  digests.reduce((sum, digest) => sum ^ digest, 0n).toString(16);
 
+/** Creates member tables. */
 export const MemberTable = {
   expiryMs: expiryTimeoutMs,
+  /** `describe` returns the entry of this node. */
   of(describe: () => Omit<Frame.Entry, 'counter' | 'age' | 'via'>): MemberTable {
-    const held = new Map<string, Held>();
-    const watchers = new Set<(changed: readonly string[]) => void>();
+    const table = new Map<string, Member>();
+    const listeners = new Set<(changed: readonly string[]) => void>();
     let counter = 0;
     let joinedAt = Instant.past;
     const self = (): Frame.Entry => ({ ...describe(), counter: ++counter, age: 0, via: '' });
-    const tell = (changed: readonly string[]) => {
-      if (changed.length > 0) for (const see of [...watchers]) see(changed);
+    const notify = (changed: readonly string[]) => {
+      if (changed.length > 0) for (const listener of [...listeners]) listener(changed);
     };
-    const remove = (isGone: (one: Held, node: string) => boolean) => {
-      const gone = [...held].filter(([node, one]) => isGone(one, node));
-      for (const [node] of gone) held.delete(node);
-      tell(gone.filter(([, one]) => one.isBelow).map(([node]) => node));
+    const remove = (isRemoved: (member: Member, node: string) => boolean) => {
+      const removed = [...table].filter(([node, member]) => isRemoved(member, node));
+      for (const [node] of removed) table.delete(node);
+      notify(removed.filter(([, member]) => member.isBelow).map(([node]) => node));
     };
     const expire = () => {
-      for (const one of held.values())
-        if (Instant.since(one.left) > expiryTimeoutMs) {
+      for (const member of table.values())
+        if (Instant.since(member.left) > expiryTimeoutMs) {
           remove(({ left }) => Instant.since(left) > expiryTimeoutMs);
           return;
         }
     };
-    const list = (choose: (one: Held) => boolean): Frame.Entry[] => {
+    const list = (choose: (member: Member) => boolean): Frame.Entry[] => {
       expire();
-      return [...held.values()].filter(choose).map((one) => ({ ...one.entry, age: Instant.since(one.left) }));
+      return [...table.values()]
+        .filter(choose)
+        .map((member) => ({ ...member.entry, age: Instant.since(member.left) }));
     };
-    // A node that left one parent is most likely on its way to another: its entry stays for a while, but not for long.
-    const strikeAll = (via: string, isStruck: (node: string) => boolean) => {
-      const until = Instant.after(movesWithin - expiryTimeoutMs);
-      for (const [node, one] of held)
-        if (one.entry.via === via && one.isListed && isStruck(node)) {
-          one.isListed = false;
-          one.left = Instant.earliest(one.left, until);
+    // A node that left its parent is most likely joining another one: its entry expires after a shorter time.
+    const markAllDeparted = (via: string, isDeparted: (node: string) => boolean) => {
+      const until = Instant.after(departureTimeoutMs - expiryTimeoutMs);
+      for (const [node, member] of table)
+        if (member.entry.via === via && member.isListed && isDeparted(node)) {
+          member.isListed = false;
+          member.left = Instant.earliest(member.left, until);
         }
     };
     const note = (entries: readonly Frame.Entry[], via: string, isBelow: boolean) => {
@@ -106,22 +127,22 @@
       const own = describe().node;
       for (const entry of entries) {
         if (entry.node === own) continue;
-        const known = held.get(entry.node);
+        const known = table.get(entry.node);
         const left = Instant.after(-entry.age);
         const isNewer =
           known === undefined ||
           (known.entry.boot === entry.boot ? entry.counter > known.entry.counter : left > known.left);
         if (!isNewer) {
           const isSame = known.entry.boot === entry.boot && known.entry.counter === entry.counter;
-          if (isSame && known.entry.via === via) held.set(entry.node, { ...known, left, isListed: true });
+          if (isSame && known.entry.via === via) table.set(entry.node, { ...known, left, isListed: true });
           continue;
         }
         if (known?.entry.boot !== entry.boot) joinedAt = Instant.now();
         const digest = digestOf(entry);
         if (known?.digest !== digest && isBelow) changed.push(entry.node);
-        held.set(entry.node, { entry: { ...entry, via }, digest, left, isBelow, isListed: true });
+        table.set(entry.node, { entry: { ...entry, via }, digest, left, isBelow, isListed: true });
       }
-      tell(changed);
+      notify(changed);
     };
     return {
       self,
@@ -129,49 +150,50 @@
       replace(entries, via, isBelow) {
         note(entries, via, isBelow);
         const listed = new Set(entries.map((entry) => entry.node));
-        strikeAll(via, (node) => !listed.has(node));
+        markAllDeparted(via, (node) => !listed.has(node));
       },
-      markDeparted: (nodes, via) => strikeAll(via, (node) => nodes.includes(node)),
-      removeVia: (via) => remove((one) => one.isBelow && one.entry.via === via),
-      digestOf: (entry) => together([digestOf(entry)]),
+      markDeparted: (nodes, via) => markAllDeparted(via, (node) => nodes.includes(node)),
+      removeVia: (via) => remove((member) => member.isBelow && member.entry.via === via),
+      digestOf: (entry) => combineDigests([digestOf(entry)]),
       heartbeat() {
         expire();
-        const below = [...held.values()].filter((one) => one.isBelow);
+        const below = [...table.values()].filter((member) => member.isBelow);
         const now = Instant.now();
-        const isFresh = (one: Held) => now - one.left <= freshFor;
+        const isFresh = (member: Member) => now - member.left <= freshnessMs;
         const fresh = below.filter(isFresh);
         const stale = below
-          .filter((one) => !isFresh(one))
-          .map((one) => ({ node: one.entry.node, age: Instant.since(one.left) }));
-        const digest = together([digestOf(self()), ...fresh.map((one) => one.digest)]);
+          .filter((member) => !isFresh(member))
+          .map((member) => ({ node: member.entry.node, age: Instant.since(member.left) }));
+        const digest = combineDigests([digestOf(self()), ...fresh.map((member) => member.digest)]);
         return { count: fresh.length + 1, digest, stale };
       },
       applyHeartbeat({ count, digest, stale }, via) {
         expire();
-        const unheard = new Set(stale.map(({ node }) => node));
-        const listed = [...held.values()].filter(({ entry, isListed }) => entry.via === via && isListed);
-        const spoken = listed.filter(({ entry }) => !unheard.has(entry.node));
-        if (spoken.length !== count || together(spoken.map((one) => one.digest)) !== digest) return false;
+        const staleNodes = new Set(stale.map(({ node }) => node));
+        const listed = [...table.values()].filter(({ entry, isListed }) => entry.via === via && isListed);
+        const renewed = listed.filter(({ entry }) => !staleNodes.has(entry.node));
+        if (renewed.length !== count || combineDigests(renewed.map((member) => member.digest)) !== digest)
+          return false;
         const now = Instant.now();
-        for (const one of spoken) one.left = now;
+        for (const member of renewed) member.left = now;
         for (const { node, age } of stale) {
-          const one = held.get(node);
-          if (one?.entry.via === via) one.left = Instant.after(-age, now);
+          const member = table.get(node);
+          if (member?.entry.via === via) member.left = Instant.after(-age, now);
         }
         return true;
       },
-      descendants: () => list((one) => one.isBelow),
+      descendants: () => list((member) => member.isBelow),
       all: () => [self(), ...list(() => true)],
       get(node) {
         if (node === describe().node) return self();
-        const one = held.get(node);
-        if (!one || Instant.since(one.left) > expiryTimeoutMs) return undefined;
-        return { ...one.entry, age: Instant.since(one.left) };
+        const member = table.get(node);
+        if (!member || Instant.since(member.left) > expiryTimeoutMs) return undefined;
+        return { ...member.entry, age: Instant.since(member.left) };
       },
       sinceLastJoin: () => Instant.since(joinedAt),
-      watch(see) {
-        watchers.add(see);
-        return () => void watchers.delete(see);
+      watch(listener) {
+        listeners.add(listener);
+        return () => void listeners.delete(listener);
       },
     };
   },
--- a/src/membership/roster.ts
+++ b/src/membership/roster.ts
@@ -1,13 +1,18 @@
-// The roster: the names of the live proxies, in order. It changes by additions and departures; with each comes a
-// digest of the whole, so that a copy that missed something shows, and is told the whole again.
+/**
+ * The roster: the sorted names of the live proxies. Changes are sent as additions and departures with a digest of the
+ * whole, so that a copy that missed a change detects it and asks for the whole roster.
+ */
 import { createHash } from 'node:crypto';
 
+/** The names of the live proxies. */
 export type Roster = {
   readonly names: () => readonly string[];
+  /** Replaces the names and tells watchers what changed. */
   readonly set: (names: readonly string[]) => void;
-  readonly watch: (see: (change: Roster.Change) => void) => () => void;
+  readonly watch: (listener: (change: Roster.Change) => void) => () => void;
 };
 
+/** A change of the roster. Field names are those of the protobuf schema. */
 export declare namespace Roster {
   type Change = {
     readonly added: readonly string[];
@@ -19,11 +24,12 @@
 const digestOf = (names: readonly string[]): string =>
   createHash('sha256').update(names.join()).digest('base64').slice(0, 24);
 
+/** Creates rosters and applies changes. */
 export const Roster = {
   digestOf,
   of(): Roster {
     let names: readonly string[] = [];
-    const watchers = new Set<(change: Roster.Change) => void>();
+    const listeners = new Set<(change: Roster.Change) => void>();
     return {
       names: () => names,
       set(next) {
@@ -33,18 +39,18 @@
         if (added.length === 0 && departed.length === 0) return;
         names = [...after].sort();
         const change = { added, departed, digest: digestOf(names) };
-        for (const see of [...watchers]) see(change);
+        for (const listener of [...listeners]) listener(change);
       },
-      watch(see) {
-        watchers.add(see);
-        return () => void watchers.delete(see);
+      watch(listener) {
+        listeners.add(listener);
+        return () => void listeners.delete(listener);
       },
     };
   },
-  /** The roster after a change, or nothing when it is not the one that was meant. */
+  /** The roster after a change; undefined when its digest differs, since an earlier change was missed. */
   after(names: readonly string[], { added, departed, digest }: Roster.Change): readonly string[] | undefined {
-    const gone = new Set(departed);
-    const next = [...new Set([...names.filter((name) => !gone.has(name)), ...added])].sort();
+    const departedNames = new Set(departed);
+    const next = [...new Set([...names.filter((name) => !departedNames.has(name)), ...added])].sort();
     return digestOf(next) === digest ? next : undefined;
   },
 };
--- a/src/membership/transfer-queue.ts
+++ b/src/membership/transfer-queue.ts
@@ -1,51 +1,63 @@
-// Whose turn it is to get a whole view, and whose to hand one up. A few at a time get one, those first that pass it
-// on to others; between two of them the process reads and sends its pings, so that nobody who waits takes it for
-// silent. Of the children that hold a newer view than is held here one is asked, and another only after a while.
+/**
+ * Limits how many large views are sent at a time. Children that pass views on to others are served first. Between two
+ * transfers the process reads its sockets and sends its pings, so that no waiting child takes it for unresponsive.
+ * Views are also requested from one child at a time: of the children that hold a newer view one is asked, and another
+ * only after a while.
+ */
 import { Instant } from '../common/instant.js';
 import { Stamp } from '../common/stamp.js';
 import { Timer } from '../common/timer.js';
 
+/** A queue of transfers to children. */
 export type TransferQueue = {
-  readonly enqueue: (isFirst: boolean, work: () => Promise<void>) => void;
+  /** Runs the transfer when its turn comes; `isFirst` puts it before those without. */
+  readonly enqueue: (isFirst: boolean, job: () => Promise<void>) => void;
+  /** Whether a view with this stamp may be requested from a child now; true counts as a request. */
   readonly mayRequest: (stamp: Stamp) => boolean;
+  /** The number of transfers that wait. */
   readonly queueLength: () => number;
 };
 
 const maxConcurrentTransfers = 4;
-const longest = 2000;
-const askAgainAfter = 500;
+/** After this time the next transfer starts also when the current one has not ended. */
+const maxTurnMs = 2000;
+/** Time after which a view that was requested may be requested from another child. */
+const requestIntervalMs = 500;
 
+/** Creates transfer queues. */
 export const TransferQueue = {
+  /** Number of transfers that run at a time. */
   maxConcurrent: maxConcurrentTransfers,
   of(): TransferQueue {
-    const first: (() => Promise<void>)[] = [];
-    const others: (() => Promise<void>)[] = [];
+    const priorityJobs: (() => Promise<void>)[] = [];
+    const otherJobs: (() => Promise<void>)[] = [];
     let running = 0;
-    let asked = Stamp.none;
-    let askedAt = Instant.past;
-    const next = () => {
+    let requestedStamp = Stamp.none;
+    let requestedAt = Instant.past;
+    const startNext = () => {
       if (running >= maxConcurrentTransfers) return;
-      const work = first.shift() ?? others.shift();
-      if (!work) return;
+      const job = priorityJobs.shift() ?? otherJobs.shift();
+      if (!job) return;
       running += 1;
-      const late = new AbortController();
-      const turn = work().catch(() => undefined);
-      void Promise.race([turn, Timer.sleep(longest, late.signal)]).then(() => {
-        late.abort();
+      const timeout = new AbortController();
+      const finished = job().catch(() => undefined);
+      void Promise.race([finished, Timer.sleep(maxTurnMs, timeout.signal)]).then(() => {
+        timeout.abort();
         running -= 1;
-        setImmediate(next);
+        setImmediate(startNext);
       });
     };
     return {
-      queueLength: () => first.length + others.length,
-      enqueue(isFirst, work) {
-        (isFirst ? first : others).push(work);
-        next();
+      queueLength: () => priorityJobs.length + otherJobs.length,
+      enqueue(isFirst, job) {
+        (isFirst ? priorityJobs : otherJobs).push(job);
+        startNext();
       },
       mayRequest(stamp) {
-        if (!Stamp.isNewer(stamp, asked) && Instant.since(askedAt) < askAgainAfter) return false;
-        asked = stamp;
-        askedAt = Instant.now();
+        if (!Stamp.isNewer(stamp, requestedStamp) && Instant.since(requestedAt) < requestIntervalMs)
+          return false;
+        requestedStamp = stamp;
+        requestedAt = Instant.now();
         return true;
       },
     };
--- a/src/membership/uplink.ts
+++ b/src/membership/uplink.ts
@@ -1,8 +1,11 @@
-// The lower end of a session: one task that keeps this node a member. It seeks a parent among the
-// seeds and the peers learned since, joins, takes news, and passes up what it and the nodes below
-// hold: those that changed at once, and once a second a heartbeat for all of them, which it tells whole only when
-// the parent asks, for it holds others. It leaves a parent that is silent, or whose word from the primary has grown old while others may have a newer one, and seeks the next at once:
-// a few places are dialled one after another in quick succession, and the first that takes the call is asked.
+/**
+ * The child's end of a session: one task that keeps this node a member. It looks for a parent among the seeds and the
+ * peers learned since, joins it, receives views, and reports this node and the nodes below it: those that changed at
+ * once, and once a second a heartbeat for all of them. The full list is sent on joining and when the parent asks
+ * because its entries differ. The node leaves a parent that is silent, or whose last message from the primary is old
+ * while other parents may have a newer one, and looks for the next at once: a few candidates are dialled in quick
+ * succession, and the first that connects is joined.
+ */
 import { match } from 'ts-pattern';
 import { Address } from '../common/address.js';
 import { Failure } from '../common/failure.js';
@@ -20,28 +23,38 @@
 import { ParentCandidates } from './parent-candidates.js';
 import { Roster } from './roster.js';
 
+/** A session with the parent. */
 export type Uplink = {
   readonly state: () => string;
+  /** The node name of the parent; empty without one. */
   readonly parent: () => string;
+  /** The addresses at which this node looks for a parent. */
   readonly candidates: () => readonly string[];
+  /** Sends to the parent; false when there is none. */
   readonly send: (body: Frame.Body) => boolean;
+  /** Reports the entry of this node now instead of with the next heartbeat. */
   readonly announce: () => void;
   readonly stop: () => void;
+  /** Resolves when the task has ended. */
   readonly done: Promise<void>;
 };
 
+/** Options of a session with the parent. */
 export declare namespace Uplink {
   type Options = {
     readonly feed: Feed;
     readonly members: MemberTable;
     readonly seeds: readonly string[];
     readonly version: string;
+    /** Keeps to the seeds: peers and relays that a parent names are ignored. */
     readonly hasFixedCandidates?: boolean;
-    /** Opens a link to a place in another way than by a socket. */
-    readonly open?: (place: string, terms: Link.Options) => Link;
+    /** Opens a link in another way than by a socket. */
+    readonly open?: (address: string, terms: Link.Options) => Link;
+    /** Whether this node reports itself and the nodes below it. */
     readonly reportsMembers: boolean;
     readonly onParent?: (parent: Frame.Entry, stamp: Stamp) => void;
     readonly onPeers?: (peers: readonly string[]) => void;
+    /** Called after a ping was recorded in the feed. */
     readonly onPing?: () => void;
     readonly onRoster?: (proxies: readonly string[]) => void;
     readonly onLoads?: (loads: readonly Frame.Load[]) => void;
@@ -53,20 +66,28 @@
   };
 }
 
-const oldAfter = 1500;
-const rollEvery = 1000;
-const changesWithin = 20;
-const pingEvery = 400;
-const silence = 1200;
-const nextAfter = 25;
-const stayFar = 15_000;
-const answerWithin = 10_000;
-const lookNearerEvery = 1000;
-const nearerAfter = { least: 4000, most: 60_000 } as const;
+/** Age of the last message from the primary at which a parent is left. */
+const maxPrimaryAgeMs = 1500;
+const heartbeatIntervalMs = 1000;
+/** Changed entries are collected for this time and sent together. */
+const changeBatchMs = 20;
+const pingIntervalMs = 400;
+const silenceTimeoutMs = 1200;
+/** Delay between the dials of two candidates. */
+const dialStaggerMs = 25;
+/** Time after which a node leaves an agent of another zone to look for a near parent. */
+const farParentMaxMs = 15_000;
+/** Time after which a requested view counts as lost. */
+const viewRequestTimeoutMs = 10_000;
+const nearerCheckIntervalMs = 1000;
+/** Time with a parent before a node looks for a nearer one; doubles with each attempt up to the maximum. */
+const nearerDelayMs = { min: 4000, max: 60_000 } as const;
 
+/** Keeps a node a member. */
 export const Uplink = {
-  run(needs: Uplink.Options): Uplink {
-    const { feed, members: roll } = needs;
+  /** Starts the task; `stop` ends it. */
+  run(options: Uplink.Options): Uplink {
+    const { feed, members } = options;
     const stop = new AbortController();
     const phase = StateMachine.of('seeking', {
       seeking: ['joining', 'stopped'],
@@ -74,233 +95,255 @@
       joined: ['seeking', 'stopped'],
       stopped: [],
     });
-    const places = ParentCandidates.of(needs.seeds, roll.self().node, needs.hasFixedCandidates ?? false);
+    const candidates = ParentCandidates.of(
+      options.seeds,
+      members.self().node,
+      options.hasFixedCandidates ?? false,
+    );
     let joinedAt = Instant.now();
     let parent = '';
     let current: Link | undefined;
     let isBelowAgent = false;
-    let isFar = false;
-    let currentPlace = '';
-    let farFor: number = nearerAfter.least;
+    let isFarParent = false;
+    let currentAddress = '';
+    let nextNearerDelayMs: number = nearerDelayMs.min;
     let protocol: Protocol = Protocol.none;
-    let askedAt: Instant | undefined;
-    let lookedNearerAt = Instant.past;
+    let requestedAt: Instant | undefined;
+    let nearerCheckedAt = Instant.past;
     let roster: readonly string[] = [];
-    let isAskingRoster = false;
-    let lastTold = '';
-    let beat: () => void = () => {};
-    const own = roll.self().node;
+    let isRosterRequested = false;
+    let lastSelfDigest = '';
+    let sendHeartbeat: () => void = () => {};
+    const own = members.self().node;
 
     const isNear = (zone: string) => {
       const zones = feed.view().manifest?.document.zones;
-      const here = roll.self().zone;
+      const here = members.self().zone;
       return zone === here || (zones?.[here] !== undefined && zones[here]?.region === zones[zone]?.region);
     };
-    const mayGoNearer = () => {
-      if (needs.hasFixedCandidates || isBelowAgent || Instant.since(joinedAt) < farFor) return false;
-      if (Instant.since(lookedNearerAt) < lookNearerEvery) return false;
-      lookedNearerAt = Instant.now();
-      if (!places.preferNearer(currentPlace, isNear)) return false;
-      farFor = Math.min(2 * farFor, nearerAfter.most);
+    const shouldMoveNearer = () => {
+      if (options.hasFixedCandidates || isBelowAgent || Instant.since(joinedAt) < nextNearerDelayMs)
+        return false;
+      if (Instant.since(nearerCheckedAt) < nearerCheckIntervalMs) return false;
+      nearerCheckedAt = Instant.now();
+      if (!candidates.preferNearer(currentAddress, isNear)) return false;
+      nextNearerDelayMs = Math.min(2 * nextNearerDelayMs, nearerDelayMs.max);
       return true;
     };
-    const isFree = () => places.all().length > 1;
-    const knowsChanges = () => protocol >= Protocol.heartbeats;
-    const tellWhole = (link: Link) => {
-      const self = roll.self();
-      lastTold = roll.digestOf(self);
-      link.send({ kind: 'roll', entries: [self, ...roll.descendants()], whole: true, departed: [] });
+    const hasAlternatives = () => candidates.all().length > 1;
+    const supportsHeartbeats = () => protocol >= Protocol.heartbeats;
+    const sendAllEntries = (link: Link) => {
+      const self = members.self();
+      lastSelfDigest = members.digestOf(self);
+      link.send({ kind: 'roll', entries: [self, ...members.descendants()], whole: true, departed: [] });
     };
-    const changes = (link: Link) => {
+    const createReporter = (link: Link) => {
       const changed = new Set<string>();
-      let soon: Timer | undefined;
+      let batchTimer: Timer | undefined;
       const flush = () => {
-        soon?.stop();
-        soon = undefined;
+        batchTimer?.stop();
+        batchTimer = undefined;
         if (changed.size === 0) return;
-        const entries = [...changed].flatMap((node) => roll.get(node) ?? []);
+        const entries = [...changed].flatMap((node) => members.get(node) ?? []);
         const departed = [...changed].filter((node) => entries.every((entry) => entry.node !== node));
-        if (changed.has(own)) lastTold = roll.digestOf(roll.self());
+        if (changed.has(own)) lastSelfDigest = members.digestOf(members.self());
         changed.clear();
         link.send({ kind: 'roll', entries, whole: false, departed });
       };
       return {
-        see(nodes: readonly string[]) {
-          if (!needs.reportsMembers) return;
+        add(nodes: readonly string[]) {
+          if (!options.reportsMembers) return;
           for (const node of nodes) changed.add(node);
-          soon ??= Timer.after(changesWithin, flush);
+          batchTimer ??= Timer.after(changeBatchMs, flush);
         },
-        beat() {
-          if (!needs.reportsMembers || !phase.is('joined')) return;
-          if (!knowsChanges()) return tellWhole(link);
-          if (roll.digestOf(roll.self()) !== lastTold) changed.add(own);
-          const heartbeat = roll.heartbeat();
+        sendHeartbeat() {
+          if (!options.reportsMembers || !phase.is('joined')) return;
+          if (!supportsHeartbeats()) return sendAllEntries(link);
+          if (members.digestOf(members.self()) !== lastSelfDigest) changed.add(own);
+          const heartbeat = members.heartbeat();
           flush();
           link.send({ kind: 'heartbeat', ...heartbeat });
         },
-        stop: () => soon?.stop(),
+        stop: () => batchTimer?.stop(),
       };
     };
-    const hearRoster = (frame: Extract<Frame, { kind: 'roster' }>, link: Link) => {
+    const handleRoster = (frame: Extract<Frame, { kind: 'roster' }>, link: Link) => {
       if (frame.whole || frame.digest === '') {
         roster = frame.proxies;
-        isAskingRoster = false;
-        needs.onRoster?.(roster);
+        isRosterRequested = false;
+        options.onRoster?.(roster);
         return;
       }
-      if (isAskingRoster) return;
+      if (isRosterRequested) return;
       const next = Roster.after(roster, frame);
-      isAskingRoster = next === undefined;
+      isRosterRequested = next === undefined;
       if (!next) link.send({ kind: 'inquire', what: 'roster' });
       else if (next.join() !== roster.join()) {
         roster = next;
-        needs.onRoster?.(roster);
+        options.onRoster?.(roster);
       }
     };
-    const cut = () => (protocol >= Protocol.rangesByName ? 'name' : 'position');
-    const ask = (link: Link, digests = Ranges.digests(ViewCache.ranges(feed.view(), cut()))) => {
-      if (askedAt !== undefined) return;
-      askedAt = Instant.now();
+    const rangeCut = () => (protocol >= Protocol.rangesByName ? 'name' : 'position');
+    const requestView = (link: Link, digests = Ranges.digests(ViewCache.ranges(feed.view(), rangeCut()))) => {
+      if (requestedAt !== undefined) return;
+      requestedAt = Instant.now();
       link.send({ kind: 'ask', digests });
     };
-    const handUp = async (link: Link) => {
+    const sendView = async (link: Link) => {
       const isCompressed = protocol >= Protocol.rangesByName;
       const compressed = isCompressed ? await ViewCache.compressed(feed.view()) : new Uint8Array();
       const view = isCompressed ? new Uint8Array() : ViewCache.bytes(feed.view());
       link.send({ kind: 'news', view, compressed });
     };
-    // While the view that was asked for is on its way, only the parent's own word says whether it is cut off.
-    const lookAtAge = (age: number) => {
-      const isAsking = askedAt !== undefined && Instant.since(askedAt) < answerWithin;
-      if (!isAsking) askedAt = undefined;
-      const isOld =
-        (isAsking ? age : feed.age()) > oldAfter && (isBelowAgent || Instant.since(joinedAt) > oldAfter);
-      if (isOld && isFree()) throw Failure.of('silence', 'no fresh word from the primary here');
+    // While a requested view is in transit, only the age that the parent itself reports tells whether it is cut off.
+    const checkAge = (age: number) => {
+      const isRequested = requestedAt !== undefined && Instant.since(requestedAt) < viewRequestTimeoutMs;
+      if (!isRequested) requestedAt = undefined;
+      const isTooOld =
+        (isRequested ? age : feed.age()) > maxPrimaryAgeMs &&
+        (isBelowAgent || Instant.since(joinedAt) > maxPrimaryAgeMs);
+      if (isTooOld && hasAlternatives())
+        throw Failure.of('silence', 'the last message from the primary is too old');
     };
-    const goLower = (relays: readonly string[], link: Link): boolean => {
-      if (needs.hasFixedCandidates || !places.preferRelays(relays, roll.self().wire)) return false;
-      needs.note('going lower', { relays });
+    const moveToRelay = (relays: readonly string[], link: Link): boolean => {
+      if (options.hasFixedCandidates || !candidates.preferRelays(relays, members.self().wire)) return false;
+      options.note('moving to a relay', { relays });
       link.close();
       return true;
     };
-    const learnPeers = (peers: readonly string[]) => {
-      places.addPeers(peers);
-      needs.onPeers?.(peers);
+    const addPeers = (peers: readonly string[]) => {
+      candidates.addPeers(peers);
+      options.onPeers?.(peers);
     };
-    const hearPing = ({ age, stamp }: Extract<Frame, { kind: 'ping' }>, link: Link) => {
+    const handlePing = ({ age, stamp }: Extract<Frame, { kind: 'ping' }>, link: Link) => {
       feed.recordPing(age, stamp);
-      needs.onPing?.();
-      lookAtAge(age);
-      if (Stamp.isNewer(stamp, feed.stamp())) ask(link);
-      if (mayGoNearer() || (isFar && Instant.since(joinedAt) > stayFar))
-        throw Failure.of('silence', 'time to look for a nearer parent');
+      options.onPing?.();
+      checkAge(age);
+      if (Stamp.isNewer(stamp, feed.stamp())) requestView(link);
+      if (shouldMoveNearer() || (isFarParent && Instant.since(joinedAt) > farParentMaxMs))
+        throw Failure.of('silence', 'leaving to look for a nearer parent');
     };
-    const take = (frame: Exclude<Frame, { kind: 'ping' }>, link: Link) =>
+    const handleFrame = (frame: Exclude<Frame, { kind: 'ping' }>, link: Link) =>
       match(frame)
         .with({ kind: 'welcome' }, ({ self, peers, relays, stamp, age, protocol: theirs }) => {
           protocol = Protocol.negotiate(theirs);
-          learnPeers(peers);
-          if (goLower(relays, link)) return;
+          addPeers(peers);
+          if (moveToRelay(relays, link)) return;
           isBelowAgent = self.program === 'agent';
-          if (!isBelowAgent) places.recordZone(currentPlace, self.zone);
-          if (isBelowAgent && age > oldAfter && isFree())
-            throw Failure.of('silence', 'no fresh word from the primary there');
+          if (!isBelowAgent) candidates.recordZone(currentAddress, self.zone);
+          if (isBelowAgent && age > maxPrimaryAgeMs && hasAlternatives())
+            throw Failure.of('silence', 'the last message from the primary is too old at the parent');
           phase.transitionTo('joined');
           joinedAt = Instant.now();
           parent = self.node;
-          isFar = isBelowAgent && self.zone !== roll.self().zone;
-          needs.onParent?.(self, stamp);
-          if (needs.reportsMembers) tellWhole(link);
-          if (Stamp.isNewer(stamp, feed.stamp())) ask(link);
+          isFarParent = isBelowAgent && self.zone !== members.self().zone;
+          options.onParent?.(self, stamp);
+          if (options.reportsMembers) sendAllEntries(link);
+          if (Stamp.isNewer(stamp, feed.stamp())) requestView(link);
         })
-        .with({ kind: 'peers' }, ({ peers }) => learnPeers(peers))
-        .with({ kind: 'lower' }, ({ relays }) => void goLower(relays, link))
+        .with({ kind: 'peers' }, ({ peers }) => addPeers(peers))
+        .with({ kind: 'lower' }, ({ relays }) => void moveToRelay(relays, link))
         .with({ kind: 'news' }, (news) => {
-          askedAt = undefined;
+          requestedAt = undefined;
           feed.offer(ViewCache.decodeView(news));
         })
         .with({ kind: 'patch' }, (patch) => {
-          askedAt = undefined;
+          requestedAt = undefined;
           try {
             feed.offer(
-              Ranges.applyPatch(ViewCache.ranges(feed.view(), cut()), ViewCache.decodePatch(patch), cut()),
+              Ranges.applyPatch(
+                ViewCache.ranges(feed.view(), rangeCut()),
+                ViewCache.decodePatch(patch),
+                rangeCut(),
+              ),
             );
           } catch (error) {
-            needs.note('asking for the whole view', { why: Failure.text(error) });
-            ask(link, []);
+            options.note('patch cannot be applied: requesting the whole view', { why: Failure.text(error) });
+            requestView(link, []);
           }
         })
-        .with({ kind: 'ask' }, () => void handUp(link))
-        .with({ kind: 'tokens' }, (frame) => needs.onTokens?.(frame))
+        .with({ kind: 'ask' }, () => void sendView(link))
+        .with({ kind: 'tokens' }, (frame) => options.onTokens?.(frame))
         .with({ kind: 'roster' }, (frame) => {
-          if (needs.onRoster) hearRoster(frame, link);
+          if (options.onRoster) handleRoster(frame, link);
         })
         .with({ kind: 'inquire' }, ({ what }) => {
-          if (what === 'roll') tellWhole(link);
+          if (what === 'roll') sendAllEntries(link);
         })
-        .with({ kind: 'loads' }, ({ loads }) => needs.onLoads?.(loads))
-        .with({ kind: 'leaving' }, ({ instances }) => needs.onLeaving?.(instances))
-        .with({ kind: 'failures' }, ({ failed }) => needs.onFailures?.(failed))
-        .with({ kind: 'cold' }, (frame) => needs.onCold?.(frame))
+        .with({ kind: 'loads' }, ({ loads }) => options.onLoads?.(loads))
+        .with({ kind: 'leaving' }, ({ instances }) => options.onLeaving?.(instances))
+        .with({ kind: 'failures' }, ({ failed }) => options.onFailures?.(failed))
+        .with({ kind: 'cold' }, (frame) => options.onCold?.(frame))
         .with({ kind: 'refuse' }, ({ reason }) => {
           throw Failure.of('link', `refused by parent: ${reason}`);
         })
         .otherwise(({ kind }) => {
           throw Failure.of('frame', `unexpected ${kind} from a parent`);
         });
-    const dial = (): Promise<{ readonly place: string; readonly link: Link }> => {
-      const terms = { stamp: feed.stamp, age: feed.age, pingEvery, silence };
-      const below = new Set([roll.self().wire, ...roll.descendants().map((entry) => entry.wire)]);
-      const list = places.next().filter((place) => !below.has(place) && Address.parse(place) !== undefined);
-      const hasOne = new AbortController();
-      const dials = list.map(async (place, index) => {
-        await Timer.sleep(index * nextAfter, hasOne.signal);
-        if (hasOne.signal.aborted) throw Failure.of('link', 'another place took the call');
-        const either = AbortSignal.any([stop.signal, hasOne.signal]);
-        const opened = needs.open
-          ? Promise.resolve(needs.open(place, terms))
-          : Link.open(Address.checked(place), terms, either);
+    const dialCandidates = (): Promise<{ readonly address: string; readonly link: Link }> => {
+      const terms = {
+        stamp: feed.stamp,
+        age: feed.age,
+        pingEvery: pingIntervalMs,
+        silence: silenceTimeoutMs,
+      };
+      const below = new Set([members.self().wire, ...members.descendants().map((entry) => entry.wire)]);
+      const list = candidates
+        .next()
+        .filter((address) => !below.has(address) && Address.parse(address) !== undefined);
+      const connected = new AbortController();
+      const dials = list.map(async (address, index) => {
+        await Timer.sleep(index * dialStaggerMs, connected.signal);
+        if (connected.signal.aborted) throw Failure.of('link', 'another candidate connected first');
+        const signal = AbortSignal.any([stop.signal, connected.signal]);
+        const opened = options.open
+          ? Promise.resolve(options.open(address, terms))
+          : Link.open(Address.checked(address), terms, signal);
         const link = await opened.catch((error: unknown) => {
-          if (!hasOne.signal.aborted) places.markFailed(place);
+          if (!connected.signal.aborted) candidates.markFailed(address);
           throw error;
         });
-        if (hasOne.signal.aborted) link.close();
-        hasOne.abort();
-        return { place, link };
+        if (connected.signal.aborted) link.close();
+        connected.abort();
+        return { address, link };
       });
       return Promise.any(dials);
     };
-    const attend = async (): Promise<void> => {
-      const { place, link } = await dial();
+    const runSession = async (): Promise<void> => {
+      const { address, link } = await dialCandidates();
       const onStop = () => link.close();
       stop.signal.addEventListener('abort', onStop, { once: true });
-      const soon = changes(link);
-      const unwatch = [feed.watch(() => soon.see([roll.self().node])), roll.watch(soon.see), soon.stop];
-      const rolls = Timer.every(rollEvery, soon.beat);
-      beat = soon.beat;
+      const reporter = createReporter(link);
+      const subscriptions = [
+        feed.watch(() => reporter.add([members.self().node])),
+        members.watch(reporter.add),
+        reporter.stop,
+      ];
+      const heartbeatTimer = Timer.every(heartbeatIntervalMs, reporter.sendHeartbeat);
+      sendHeartbeat = reporter.sendHeartbeat;
       try {
         current = link;
-        currentPlace = place;
-        askedAt = undefined;
-        isAskingRoster = false;
+        currentAddress = address;
+        requestedAt = undefined;
+        isRosterRequested = false;
         protocol = Protocol.none;
         link.send({
           kind: 'hello',
-          self: roll.self(),
-          version: needs.version,
+          self: members.self(),
+          version: options.version,
           aim: 'session',
           protocol: Protocol.newest,
         });
         for await (const frame of link.frames())
-          if (frame.kind === 'ping') hearPing(frame, link);
-          else take(frame, link);
+          if (frame.kind === 'ping') handlePing(frame, link);
+          else handleFrame(frame, link);
       } catch (error) {
-        if (phase.is('joined')) needs.note('session ended', { place, why: Failure.text(error) });
+        if (phase.is('joined')) options.note('session ended', { address: address, why: Failure.text(error) });
       } finally {
-        places.markFailed(place);
+        candidates.markFailed(address);
         current = undefined;
-        rolls.stop();
-        for (const end of unwatch) end();
+        heartbeatTimer.stop();
+        for (const unsubscribe of subscriptions) unsubscribe();
         stop.signal.removeEventListener('abort', onStop);
         link.close();
       }
@@ -308,7 +351,7 @@
     const run = async () => {
       for (let round = 0; !stop.signal.aborted; round += 1) {
         phase.transitionTo('joining');
-        await attend().catch(() => undefined);
+        await runSession().catch(() => undefined);
         const wasJoined = phase.is('joined');
         parent = '';
         if (stop.signal.aborted) break;
@@ -321,9 +364,9 @@
     return {
       state: () => phase.state,
       parent: () => parent,
-      candidates: places.all,
+      candidates: candidates.all,
       announce() {
-        if (phase.is('joined') && current) beat();
+        if (phase.is('joined') && current) sendHeartbeat();
       },
       send: (body) => (phase.is('joined') && current?.send(body)) || false,
       stop: () => stop.abort(),
--- a/src/news/feed.ts
+++ b/src/news/feed.ts
@@ -1,34 +1,45 @@
-// The feed holds the newest view this process knows and tells its watchers when a newer one comes. It
-// takes nothing with a lower or equal stamp, and no empty view in place of a manifest. It also knows how old
-// the last word from the primary is: ages travel with pings down the tree, so that a node behind a cut-off
-// relay notices and looks elsewhere. Word that names a newer view than the one held does not count, and
-// word that names the very view held vouches for it: it was the newest when that word left the primary. The
-// first such word for a view is told to those who pass words on, so that it need not wait for their next ping.
+/**
+ * Holds the newest view that this process knows and tells its watchers when a newer one arrives. A view with a lower or
+ * equal stamp is not taken, nor an empty view in place of a manifest. The feed also tracks the age of the last message
+ * from the primary: ages travel with pings down the tree, so that a node behind a relay that is cut off notices and
+ * looks for another parent. A ping that names a newer view than the one held does not count. A ping that names the very
+ * view held confirms it: that view was the newest when the message left the primary. The first confirmation of a view
+ * is passed on at once, so that the nodes below need not wait for the next ping.
+ */
 import { Instant } from '../common/instant.js';
 import { Stamp } from '../common/stamp.js';
 import { View } from '../manifest/view.js';
 
+/** The newest view of a process. */
 export type Feed = {
   readonly view: () => View;
   readonly stamp: () => Stamp;
+  /** Takes a view when it is newer; false when it is not taken. */
   readonly offer: (view: View) => boolean;
-  readonly watch: (see: (view: View) => void) => () => void;
-  readonly watchConfirmed: (see: () => void) => () => void;
+  /** Calls back with each view taken; returns a function that ends it. */
+  readonly watch: (listener: (view: View) => void) => () => void;
+  /** Calls back when the view held is confirmed for the first time; returns a function that ends it. */
+  readonly watchConfirmed: (listener: () => void) => () => void;
+  /** Records a ping: the age of the last message from the primary, and the stamp of the sender. */
   readonly recordPing: (age: number, stamp: Stamp) => void;
+  /** The age of the last message from the primary, in milliseconds. */
   readonly age: () => number;
+  /** When the last message that confirmed a view left the primary. */
   readonly confirmedAt: () => Instant;
+  /** The number of views that were older than the one held. */
   readonly ignoredCount: () => number;
 };
 
+/** Creates feeds. */
 export const Feed = {
-  of(first: View = View.empty): Feed {
-    let view = first;
-    let heard = Instant.past;
-    let vouched = Instant.past;
+  of(initial: View = View.empty): Feed {
+    let view = initial;
+    let receivedAt = Instant.past;
+    let lastConfirmedAt = Instant.past;
     let ignored = 0;
-    let isVouched = false;
-    const wordWatchers = new Set<() => void>();
-    const watchers = new Set<(view: View) => void>();
+    let isConfirmed = false;
+    const confirmationListeners = new Set<() => void>();
+    const listeners = new Set<(view: View) => void>();
     return {
       view: () => view,
       stamp: () => view.stamp,
@@ -40,30 +51,30 @@
         }
         if (!next.manifest && view.manifest) return false;
         view = next;
-        isVouched = false;
-        for (const see of [...watchers]) see(next);
+        isConfirmed = false;
+        for (const listener of [...listeners]) listener(next);
         return true;
       },
-      watch(see) {
-        watchers.add(see);
-        return () => void watchers.delete(see);
+      watch(listener) {
+        listeners.add(listener);
+        return () => void listeners.delete(listener);
       },
-      watchConfirmed(see) {
-        wordWatchers.add(see);
-        return () => void wordWatchers.delete(see);
+      watchConfirmed(listener) {
+        confirmationListeners.add(listener);
+        return () => void confirmationListeners.delete(listener);
       },
       recordPing(age, stamp) {
         if (Stamp.isNewer(stamp, view.stamp)) return;
-        const at = Instant.after(-age);
-        if (at > heard) heard = at;
-        if (at <= vouched || !view.manifest || !Stamp.isSame(stamp, view.stamp)) return;
-        vouched = at;
-        if (isVouched) return;
-        isVouched = true;
-        for (const see of [...wordWatchers]) see();
+        const sentAt = Instant.after(-age);
+        if (sentAt > receivedAt) receivedAt = sentAt;
+        if (sentAt <= lastConfirmedAt || !view.manifest || !Stamp.isSame(stamp, view.stamp)) return;
+        lastConfirmedAt = sentAt;
+        if (isConfirmed) return;
+        isConfirmed = true;
+        for (const listener of [...confirmationListeners]) listener();
       },
-      age: () => Instant.since(heard),
-      confirmedAt: () => vouched,
+      age: () => Instant.since(receivedAt),
+      confirmedAt: () => lastConfirmedAt,
     };
   },
 };
--- a/src/news/relays.ts
+++ b/src/news/relays.ts
@@ -1,28 +1,34 @@
-// Which agents relay news in a zone: the first two by name of those live there. The others are told to
-// go to them once they hold a view, so that news crosses between regions twice a zone however many machines stand
-// in it.
+/**
+ * Chooses the agents that relay views in a zone: the first two by name of those that are ready there. Once these hold a
+ * view the other agents are told to join them, so that views cross between regions twice per zone, independent of the
+ * number of machines in it.
+ */
 import { Stamp } from '../common/stamp.js';
 import type { Frame } from '../wire/frame.js';
 
+/** The wire addresses of relays. */
 export type Relays = readonly string[];
 
-const perZone = 2;
+const relaysPerZone = 2;
 
-const relaysOf = (zone: string, roll: readonly Frame.Entry[]): readonly Frame.Entry[] =>
-  roll
+const relaysIn = (zone: string, members: readonly Frame.Entry[]): readonly Frame.Entry[] =>
+  members
     .filter((entry) => entry.program === 'agent' && entry.zone === zone && entry.ready)
     .sort((a, b) => (a.node < b.node ? -1 : 1))
-    .slice(0, perZone);
-const isAmong = (relays: readonly Frame.Entry[], child: Frame.Entry): boolean =>
+    .slice(0, relaysPerZone);
+const includes = (relays: readonly Frame.Entry[], child: Frame.Entry): boolean =>
   relays.some((entry) => entry.node === child.node);
 
+/** Chooses the relays of a zone from the members. */
 export const Relays = {
-  isRelay: (child: Frame.Entry, roll: readonly Frame.Entry[]): boolean =>
-    child.program === 'agent' && isAmong(relaysOf(child.zone, roll), child),
-  of(child: Frame.Entry, roll: readonly Frame.Entry[]): Relays {
+  /** Whether this child is a relay of its zone. */
+  isRelay: (child: Frame.Entry, members: readonly Frame.Entry[]): boolean =>
+    child.program === 'agent' && includes(relaysIn(child.zone, members), child),
+  /** The relays that this child should join; empty for relays and for other programs than agents. */
+  of(child: Frame.Entry, members: readonly Frame.Entry[]): Relays {
     if (child.program !== 'agent') return [];
-    const relays = relaysOf(child.zone, roll);
-    if (isAmong(relays, child)) return [];
+    const relays = relaysIn(child.zone, members);
+    if (includes(relays, child)) return [];
     return relays
       .filter((entry) => entry.depth <= 1 && !Stamp.isSame(entry.stamp, Stamp.none))
       .map((entry) => entry.wire);
--- a/src/repair/chunks.ts
+++ b/src/repair/chunks.ts
@@ -1,21 +1,28 @@
-// Lists cut into chunks. By name: a chunk ends after an entry whose name hashes to an end, so that an entry put
-// in, taken out or changed touches its own chunk alone, and the order stays (content-defined chunking). By
-// position: the cut of programs that know no other, where an entry put in shifts all chunks after it.
+/**
+ * Cuts lists into chunks. By name, a chunk ends after an entry whose name hashes to a boundary, so that an entry that
+ * is added, removed or changed affects only its own chunk, and the order is kept (content-defined chunking). By
+ * position is the cut of programs older than this one, where an added entry shifts all chunks after it.
+ */
+
+/** Cuts a list. */
 export type Chunks = { readonly of: (list: readonly unknown[], cut: Chunks.Cut) => readonly unknown[][] };
 
+/** How a list is cut. */
 export declare namespace Chunks {
   type Cut = 'position' | 'name';
 }
 
-const perChunk = 8;
-const most = 4 * perChunk;
-const perPosition = 32;
+const meanChunkLength = 8;
+const maxChunkLength = 4 * meanChunkLength;
+const positionChunkLength = 32;
 
+/** 32-bit FNV-1a with a finalizer, since the low bits decide about boundaries. */
 const hash = (text: string): number => {
-  let sum = 0x811c9dc5;
-  for (let at = 0; at < text.length; at += 1) sum = Math.imul(sum ^ text.charCodeAt(at), 0x01000193);
-  sum = Math.imul(sum ^ (sum >>> 15), 0x2c1b3c6d);
-  return (sum ^ (sum >>> 13)) >>> 0;
+  let state = 0x811c9dc5;
+  for (let index = 0; index < text.length; index += 1)
+    state = Math.imul(state ^ text.charCodeAt(index), 0x01000193);
+  state = Math.imul(state ^ (state >>> 15), 0x2c1b3c6d);
+  return (state ^ (state >>> 13)) >>> 0;
 };
 
 const nameOf = (entry: unknown): string => {
@@ -24,20 +31,21 @@
   return String(name ?? instance ?? JSON.stringify(entry));
 };
 
+/** Cuts lists into chunks. */
 export const Chunks: Chunks = {
   of(list, cut) {
     if (cut === 'position')
-      return Array.from({ length: Math.ceil(list.length / perPosition) }, (_none, index) =>
-        list.slice(index * perPosition, (index + 1) * perPosition),
+      return Array.from({ length: Math.ceil(list.length / positionChunkLength) }, (_none, index) =>
+        list.slice(index * positionChunkLength, (index + 1) * positionChunkLength),
       );
     const chunks: unknown[][] = [];
-    let open: unknown[] = [];
+    let current: unknown[] = [];
     for (const entry of list) {
-      open.push(entry);
-      if (open.length < most && hash(nameOf(entry)) % perChunk !== 0) continue;
-      chunks.push(open);
-      open = [];
+      current.push(entry);
+      if (current.length < maxChunkLength && hash(nameOf(entry)) % meanChunkLength !== 0) continue;
+      chunks.push(current);
+      current = [];
     }
-    return open.length > 0 ? [...chunks, open] : chunks;
+    return current.length > 0 ? [...chunks, current] : chunks;
   },
 };
--- a/src/repair/ranges.ts
+++ b/src/repair/ranges.ts
@@ -1,17 +1,22 @@
-// A view cut into ranges, each with a digest, so that two copies can be compared and mended by sending
-// only the ranges that differ; a run of ranges that the other copy holds in the same order is one line. The seal is
-// a digest over all ranges in order: a copy put together from ranges is taken only when its seal is the one that
-// came with them.
+/**
+ * Cuts a view into ranges, each with a digest, so that two copies can be compared and brought up to date by sending
+ * only the ranges that differ. A run of ranges that the other copy holds in the same order is one entry. The seal is a
+ * digest over all ranges in order: a view assembled from ranges is taken only when its seal is the one sent with the
+ * patch.
+ */
 import { createHash } from 'node:crypto';
 import { Failure } from '../common/failure.js';
 import type { View } from '../manifest/view.js';
 import { Chunks } from './chunks.js';
 
+/** The ranges of a view, by name and in order. */
 export type Ranges = ReadonlyMap<string, Ranges.Range>;
 
+/** Ranges and patches. Field names are those of the protobuf schema. */
 export declare namespace Ranges {
-  /** The value is what the body says: a view mended with an unchanged range holds the very same objects. */
+  /** `value` is the parsed body: a patched view holds the same objects for its unchanged ranges. */
   type Range = { readonly body: string; readonly digest: string; readonly value: unknown };
+  /** One range of a patch, or with an empty body a run of `count` ranges that the receiver holds. */
   type Part = {
     readonly name: string;
     readonly digest: string;
@@ -23,11 +28,11 @@
 
 const hash = (text: string): string => createHash('sha256').update(text).digest('base64').slice(0, 24);
 
-/** Two parts of the same content have digests of their own, so that a run says which parts it means. */
+/** Includes the name, so that two parts with the same content have different digests and a run is unambiguous. */
 const digestOf = (name: string, body: string, cut: Chunks.Cut): string =>
   hash(cut === 'position' ? body : `${name.startsWith('part:') ? name : name.split('/')[0]}=${body}`);
 
-const pieces = (name: string, list: readonly unknown[], cut: Chunks.Cut): [string, unknown][] =>
+const cutList = (name: string, list: readonly unknown[], cut: Chunks.Cut): [string, unknown][] =>
   Chunks.of(list, cut).map((chunk, index) => [`${name}/${index}`, chunk]);
 
 const entriesOf = (teams: unknown): readonly unknown[] | undefined =>
@@ -35,8 +40,8 @@
 
 type Named = Ranges.Range & { readonly name: string };
 
-/** A part of a list is named by its place in the list, which a change may move; all others keep their names. */
-const nameInOrder = (): ((name: string) => string) => {
+/** Renumbers the parts of a list, whose positions a change may shift; all others keep their names. */
+const createRenumbering = (): ((name: string) => string) => {
   const counts = new Map<string, number>();
   return (name) => {
     const slash = name.indexOf('/');
@@ -48,31 +53,31 @@
   };
 };
 
-const readSent = ({ name, digest, body, count }: Ranges.Part, cut: Chunks.Cut): Named => {
+const readReceived = ({ name, digest, body, count }: Ranges.Part, cut: Chunks.Cut): Named => {
   if (body === '' || count > 1 || digestOf(name, body, cut) !== digest)
-    throw Failure.of('frame', 'a range cannot be mended', { name });
+    throw Failure.of('frame', 'range is missing or its digest differs', { name });
   return { name, digest, body, value: JSON.parse(body) };
 };
 
-/** The ranges that a patch means, in their order: those held as they are, the others read from the patch. */
-const restore = (held: Ranges, patch: Ranges.Patch, cut: Chunks.Cut): Ranges => {
+/** The ranges of the patched view in order: unchanged ones from those held, the others read from the patch. */
+const resolvePatch = (held: Ranges, patch: Ranges.Patch, cut: Chunks.Cut): Ranges => {
   const known = [...held].map(([name, range]): Named => ({ name, ...range }));
-  const places = new Map([...known.keys()].reverse().map((at) => [known[at]!.digest, at]));
+  const positions = new Map([...known.keys()].reverse().map((at) => [known[at]!.digest, at]));
   const parts = patch.ranges.flatMap((part): readonly Named[] => {
     const { name, digest, body, count } = part;
-    const at = places.get(digest);
+    const at = positions.get(digest);
     if (body === '' && at !== undefined && count > 1 && at + count <= known.length)
       return known.slice(at, at + count);
     if (body === '' && at !== undefined && count <= 1) return [{ ...known[at]!, name }];
-    return [readSent(part, cut)];
+    return [readReceived(part, cut)];
   });
-  const rename = nameInOrder();
+  const rename = createRenumbering();
   return new Map(parts.map(({ name, ...range }) => [rename(name), range]));
 };
 
-const seals = new WeakMap<Ranges, string>();
-const digestLists = new WeakMap<Ranges, readonly string[]>();
-const mended: Readonly<Record<Chunks.Cut, WeakMap<View, Ranges>>> = {
+const sealCache = new WeakMap<Ranges, string>();
+const digestCache = new WeakMap<Ranges, readonly string[]>();
+const patchedRanges: Readonly<Record<Chunks.Cut, WeakMap<View, Ranges>>> = {
   position: new WeakMap(),
   name: new WeakMap(),
 };
@@ -80,8 +85,8 @@
 const sealOf = (ranges: Ranges): string =>
   hash([...ranges].map(([name, { digest }]) => `${name}=${digest}`).join());
 
-/** The entries of each list, whose parts stand one after another. */
-const listsIn = (ranges: Ranges): Readonly<Record<'teams' | 'rules' | 'servers', unknown[]>> => {
+/** The entries of each list, whose parts follow one another. */
+const collectLists = (ranges: Ranges): Readonly<Record<'teams' | 'rules' | 'servers', unknown[]>> => {
   const lists = { teams: [] as unknown[], rules: [] as unknown[], servers: [] as unknown[] };
   for (const [name, { value }] of ranges) {
     const list = name.slice(0, name.indexOf('/')) as keyof typeof lists;
@@ -91,9 +96,9 @@
   return lists;
 };
 
-/** The view that these ranges are cut from. */
-const join = (ranges: Ranges): View => {
-  const { teams, rules, servers } = listsIn(ranges);
+/** The view that consists of these ranges. */
+const assembleView = (ranges: Ranges): View => {
+  const { teams, rules, servers } = collectLists(ranges);
   const meta = (ranges.get('meta')?.value ?? {}) as {
     stamp: View['stamp'];
     platform: Omit<View.Platform, 'servers'>;
@@ -117,6 +122,7 @@
   } as unknown as View;
 };
 
+/** Cuts views into ranges, and makes and applies patches. */
 export const Ranges = {
   cut(view: View, cut: Chunks.Cut = 'name'): Ranges {
     const { manifest, platform, stamp } = view;
@@ -131,9 +137,9 @@
       ...Object.entries(others)
         .filter(([key]) => key !== 'teams' || !teams)
         .map(([key, value]): [string, unknown] => [`part:${key}`, value]),
-      ...pieces('teams', teams ?? [], cut),
-      ...pieces('rules', rules, cut),
-      ...pieces('servers', servers, cut),
+      ...cutList('teams', teams ?? [], cut),
+      ...cutList('rules', rules, cut),
+      ...cutList('servers', servers, cut),
     ];
     return new Map(
       parts.map(([name, value]) => {
@@ -143,20 +149,21 @@
     );
   },
   seal(ranges: Ranges): string {
-    const seal = seals.get(ranges) ?? sealOf(ranges);
-    seals.set(ranges, seal);
+    const seal = sealCache.get(ranges) ?? sealOf(ranges);
+    sealCache.set(ranges, seal);
     return seal;
   },
-  /** The same list each time for the same ranges, so that what is made for one who holds them is made once. */
+  /** Returns the same array each time for the same ranges, so that it can be the key of a cache. */
   digests(ranges: Ranges): readonly string[] {
-    const digests = digestLists.get(ranges) ?? [...ranges.values()].map(({ digest }) => digest);
-    digestLists.set(ranges, digests);
+    const digests = digestCache.get(ranges) ?? [...ranges.values()].map(({ digest }) => digest);
+    digestCache.set(ranges, digests);
     return digests;
   },
-  /** The ranges that this view was put together from, where it was: they need not be cut again. */
-  ofPatchedView: (view: View, cut: Chunks.Cut): Ranges | undefined => mended[cut].get(view),
+  /** The ranges that a patched view was assembled from, which then need not be cut again. */
+  ofPatchedView: (view: View, cut: Chunks.Cut): Ranges | undefined => patchedRanges[cut].get(view),
+  /** The patch to these ranges for a holder of the digests; `hasRuns` combines consecutive held ranges. */
   patch(ranges: Ranges, held: readonly string[], hasRuns = true): Ranges.Patch {
-    const places = new Map([...held.keys()].reverse().map((at) => [held[at]!, at]));
+    const positions = new Map([...held.keys()].reverse().map((at) => [held[at]!, at]));
     const parts: { name: string; digest: string; body: string; count: number }[] = [];
     let next = -1;
     for (const [name, { digest, body }] of ranges) {
@@ -166,18 +173,19 @@
         next += 1;
         continue;
       }
-      const at = places.get(digest);
+      const at = positions.get(digest);
       parts.push({ name, digest, body: at === undefined ? body : '', count: 1 });
       next = at === undefined ? -1 : at + 1;
     }
     return { seal: Ranges.seal(ranges), ranges: parts };
   },
-  /** Reads and checks only what the patch brings; the seal, over the digests of all, says that nothing is missing. */
+  /** Parses and checks only the ranges in the patch; the seal over all digests proves that the view is complete. */
   applyPatch(held: Ranges, patch: Ranges.Patch, cut: Chunks.Cut = 'name'): View {
-    const ranges = restore(held, patch, cut);
-    if (Ranges.seal(ranges) !== patch.seal) throw Failure.of('frame', 'the mended view has another seal');
-    const view = join(ranges);
-    mended[cut].set(view, ranges);
+    const ranges = resolvePatch(held, patch, cut);
+    if (Ranges.seal(ranges) !== patch.seal)
+      throw Failure.of('frame', 'the patched view has a different seal');
+    const view = assembleView(ranges);
+    patchedRanges[cut].set(view, ranges);
     return view;
   },
 };
--- a/src/repair/view-cache.ts
+++ b/src/repair/view-cache.ts
@@ -1,5 +1,8 @@
-// The ranges and the bytes of the view that a feed holds, and both compressed, which views and patches travel as when
-// both ends know it: made once for each view however many children ask. What is small is compressed at once.
+/**
+ * Keeps the ranges and the encoded bytes of a view, and both in compressed form, in which views and patches are sent
+ * when both ends support it. Each is made once per view however many children ask. Small ones are compressed
+ * synchronously.
+ */
 import { promisify } from 'node:util';
 import { deflate, deflateSync, inflateSync } from 'node:zlib';
 import { Failure } from '../common/failure.js';
@@ -7,58 +10,62 @@
 import type { Chunks } from './chunks.js';
 import { Ranges } from './ranges.js';
 
+/** The cached ranges of a view. */
 export type ViewCache = { readonly ranges: () => Ranges };
 
-const longest = 32 * 1024 * 1024;
-const compressedFrom = 512;
-const nothing = new Uint8Array();
+/** Largest accepted size after decompression (32 MiB), the size limit of a frame. */
+const maxExpandedBytes = 32 * 1024 * 1024;
+/** Below this size nothing is compressed. */
+const minCompressedInputBytes = 512;
+const empty = new Uint8Array();
 const compress = promisify(deflate);
 
-const kept: Readonly<Record<Chunks.Cut, WeakMap<View, Ranges>>> = {
+const rangeCache: Readonly<Record<Chunks.Cut, WeakMap<View, Ranges>>> = {
   position: new WeakMap(),
   name: new WeakMap(),
 };
-const encoded = new WeakMap<View, Uint8Array>();
+const encodedViews = new WeakMap<View, Uint8Array>();
 const compressed = new WeakMap<View, Promise<Uint8Array>>();
-const small = new WeakMap<object, Uint8Array>();
-type Made = {
+const compressedSmallValues = new WeakMap<object, Uint8Array>();
+type PatchCache = {
   readonly byList: WeakMap<readonly string[], Ranges.Patch>;
   readonly byText: Map<string, Ranges.Patch>;
 };
-const patches: Readonly<Record<Chunks.Cut, WeakMap<View, Made>>> = {
+const patchCaches: Readonly<Record<Chunks.Cut, WeakMap<View, PatchCache>>> = {
   position: new WeakMap(),
   name: new WeakMap(),
 };
 
 const compressSmall = (owner: object, write: () => Uint8Array): Uint8Array => {
-  const known = small.get(owner);
+  const known = compressedSmallValues.get(owner);
   if (known) return known;
   const bytes = write();
-  const made = bytes.length < compressedFrom ? nothing : deflateSync(bytes, { level: 3 });
-  small.set(owner, made);
+  const made = bytes.length < minCompressedInputBytes ? empty : deflateSync(bytes, { level: 3 });
+  compressedSmallValues.set(owner, made);
   return made;
 };
-const expand = (bytes: Uint8Array): Buffer => {
+const decompress = (bytes: Uint8Array): Buffer => {
   try {
-    return inflateSync(bytes, { maxOutputLength: longest });
+    return inflateSync(bytes, { maxOutputLength: maxExpandedBytes });
   } catch (cause) {
-    throw Failure.of('frame', 'what was compressed cannot be read', { length: bytes.length }, cause);
+    throw Failure.of('frame', 'compressed data cannot be read', { length: bytes.length }, cause);
   }
 };
 
+/** Makes and caches the forms of a view, and decodes received ones. */
 export const ViewCache = {
   ranges(view: View, cut: Chunks.Cut = 'name'): Ranges {
-    const known = kept[cut].get(view);
+    const known = rangeCache[cut].get(view);
     if (known) return known;
     const ranges = Ranges.ofPatchedView(view, cut) ?? Ranges.cut(view, cut);
-    kept[cut].set(view, ranges);
+    rangeCache[cut].set(view, ranges);
     return ranges;
   },
   bytes(view: View): Uint8Array {
-    const known = encoded.get(view);
+    const known = encodedViews.get(view);
     if (known) return known;
     const bytes = View.encode(view);
-    encoded.set(view, bytes);
+    encodedViews.set(view, bytes);
     return bytes;
   },
   compressed(view: View): Promise<Uint8Array> {
@@ -68,12 +75,12 @@
     compressed.set(view, bytes);
     return bytes;
   },
-  /** A small view compressed, or nothing where that is not worth it. */
+  /** A small view compressed; empty when it is too small to gain from that. */
   compressedSmall: (view: View): Uint8Array => compressSmall(view, () => ViewCache.bytes(view)),
-  /** What changes of the view for one that holds these ranges in this order. */
+  /** The patch to the view for a holder of these ranges in this order. */
   patch(view: View, held: readonly string[], cut: Chunks.Cut): Ranges.Patch {
-    const made: Made = patches[cut].get(view) ?? { byList: new WeakMap(), byText: new Map() };
-    patches[cut].set(view, made);
+    const made: PatchCache = patchCaches[cut].get(view) ?? { byList: new WeakMap(), byText: new Map() };
+    patchCaches[cut].set(view, made);
     const known = made.byList.get(held);
     if (known) return known;
     const text = held.join();
@@ -82,6 +89,7 @@
     made.byList.set(held, patch);
     return patch;
   },
+  /** The ranges of a patch compressed; empty when they are too small to gain from that. */
   compressedPatch: (patch: Ranges.Patch): Uint8Array =>
     compressSmall(patch, () => Buffer.from(JSON.stringify(patch.ranges))),
   decodeView: ({
@@ -90,18 +98,18 @@
   }: {
     readonly view: Uint8Array;
     readonly compressed: Uint8Array;
-  }): View => View.decode(bytes.length === 0 ? view : expand(bytes)),
+  }): View => View.decode(bytes.length === 0 ? view : decompress(bytes)),
   decodePatch({
     seal,
     ranges,
     compressed: bytes,
   }: Ranges.Patch & { readonly compressed: Uint8Array }): Ranges.Patch {
     if (bytes.length === 0) return { seal, ranges };
-    const text = expand(bytes).toString('utf8');
+    const text = decompress(bytes).toString('utf8');
     try {
       return { seal, ranges: JSON.parse(text) as Ranges.Patch['ranges'] };
     } catch (cause) {
-      throw Failure.of('frame', 'a patch cannot be read', {}, cause);
+      throw Failure.of('frame', 'patch cannot be read', {}, cause);
     }
   },
 };
--- a/test/change-cost.test.ts
+++ b/test/change-cost.test.ts
@@ -1,5 +1,7 @@
-// A change costs what it changes: a node that mends its view reads, writes and digests only the ranges that came,
-// and a parent that passes a change on writes and compresses no whole view.
+/**
+ * The cost of a change depends on the change: a node that applies a patch parses, encodes and digests only the received
+ * ranges, and a parent that passes a change on encodes and compresses no whole view.
+ */
 import assert from 'node:assert/strict';
 import { describe, it, mock } from 'node:test';
 import { Epoch } from '../src/common/epoch.js';
@@ -26,7 +28,7 @@
   match: { host: 'serve.example', path },
 });
 
-/** Bytes that no compression makes shorter, as the operator's packed words are. */
+/** Text that cannot be compressed much, like the packed field of the operator's documents. */
 const packedOf = (length: number): string =>
   Array.from({ length }, () => random.below(36).toString(36)).join('');
 
@@ -55,10 +57,10 @@
 
 const plain = Array.from({ length: routes }, (_none, index) => ruleOf(index));
 
-/** The same view with no object shared and no copy kept. */
-const anew = (view: View): View => JSON.parse(JSON.stringify(view)) as View;
+/** A deep copy, which shares no objects with the view and has no cached forms. */
+const deepCopy = (view: View): View => JSON.parse(JSON.stringify(view)) as View;
 
-/** How many characters are read and written as JSON during the work. */
+/** The number of characters that are parsed and encoded as JSON during the work. */
 const charactersOf = (work: () => unknown): number => {
   const { parse, stringify } = JSON;
   let count = 0;
@@ -84,16 +86,16 @@
   it('is to read what came, at a node that holds the rest', () => {
     const held = viewOf(1, plain);
     const after = viewOf(2, plain.with(500, ruleOf(500, '/elsewhere/*')));
-    const patch = Ranges.patch(Ranges.cut(anew(after)), Ranges.digests(ViewCache.ranges(held)));
+    const patch = Ranges.patch(Ranges.cut(deepCopy(after)), Ranges.digests(ViewCache.ranges(held)));
     const sent = patch.ranges.reduce((sum, { body }) => sum + body.length, 0);
     const whole = JSON.stringify(after).length;
-    let mended = held;
+    let patched = held;
     const count = charactersOf(() => {
-      mended = Ranges.applyPatch(ViewCache.ranges(held), patch);
-      Ranges.digests(ViewCache.ranges(mended));
-      Ranges.seal(ViewCache.ranges(mended));
+      patched = Ranges.applyPatch(ViewCache.ranges(held), patch);
+      Ranges.digests(ViewCache.ranges(patched));
+      Ranges.seal(ViewCache.ranges(patched));
     });
-    assert.deepEqual(mended, after);
+    assert.deepEqual(patched, after);
     assert.equal(count, sent, `${count} characters for ${sent} that came`);
     assert.ok(count < whole / 20, `${count} of ${whole} characters`);
   });
@@ -110,16 +112,16 @@
           () => rules.toSpliced(at, Math.min(5, rules.length - 1)),
           () => [...rules, ...plain.slice(100, 120)],
         ])();
-        const meant = anew(viewOf(revision, rules, packedOf(random.below(9))));
+        const intended = deepCopy(viewOf(revision, rules, packedOf(random.below(9))));
         const patch = Ranges.patch(
-          Ranges.cut(meant, cut),
+          Ranges.cut(intended, cut),
           Ranges.digests(ViewCache.ranges(held, cut)),
           cut === 'name',
         );
         held = Ranges.applyPatch(ViewCache.ranges(held, cut), patch, cut);
-        assert.deepEqual(held, meant);
+        assert.deepEqual(held, intended);
         const facts = (ranges: Ranges) => [...ranges].map(([name, { digest, body }]) => [name, digest, body]);
-        assert.deepEqual(facts(ViewCache.ranges(held, cut)), facts(Ranges.cut(anew(held), cut)));
+        assert.deepEqual(facts(ViewCache.ranges(held, cut)), facts(Ranges.cut(deepCopy(held), cut)));
       }
     }
   });
@@ -127,9 +129,9 @@
   it('is to send what changed, at a parent, however long that is, and to write no whole view for it', async () => {
     const feed = Feed.of(viewOf(1, plain, packedOf(9)));
     const sent: Frame.Body[] = [];
-    let told: () => void = () => {};
+    let notifySent: () => void = () => {};
     const whenSent = new Promise<void>((resolve) => {
-      told = resolve;
+      notifySent = resolve;
     });
     const link = {
       isLocal: false,
@@ -137,11 +139,11 @@
       flushed: () => Promise.resolve(),
       send(body: Frame.Body) {
         sent.push(body);
-        if (body.kind !== 'ping') told();
+        if (body.kind !== 'ping') notifySent();
         return true;
       },
     } as unknown as Link;
-    const dispatch = ViewSender.of({
+    const viewSender = ViewSender.of({
       link,
       feed,
       transfers: TransferQueue.of(),
@@ -153,7 +155,7 @@
     feed.offer(viewOf(2, plain, packedOf(60_000)));
     const encode = mock.method(View, 'encode');
     try {
-      dispatch.send();
+      viewSender.send();
       await whenSent;
       assert.equal(sent[0]?.kind, 'patch');
       assert.equal(encode.mock.callCount(), 0, 'the whole view was written');
--- a/test/chunks.test.ts
+++ b/test/chunks.test.ts
@@ -1,5 +1,7 @@
-// Chunked framing in one buffer: the bytes on the wire are those of Node.js's own framing, and an answer that breaks
-// off never ends as a whole one.
+/**
+ * Chunked framing in one buffer: the bytes on the wire equal those of Node.js's own framing, and a response that breaks
+ * off never looks complete.
+ */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { createServer, type ServerResponse } from 'node:http';
@@ -8,7 +10,7 @@
 import fc from 'fast-check';
 import { BodyWriter } from '../src/proxy/body-writer.js';
 
-const answered = async (
+const responseText = async (
   answer: (response: ServerResponse) => void,
   request = 'GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n',
 ): Promise<string> => {
@@ -37,7 +39,7 @@
         async (written, last) => {
           const buffers = written.map((bytes) => Buffer.from(bytes));
           const rest = last && Buffer.from(last);
-          const own = await answered((response) => {
+          const own = await responseText((response) => {
             response.writeHead(200, { 'content-type': 'text/plain' });
             response.flushHeaders();
             const chunks = BodyWriter.of(response);
@@ -45,13 +47,13 @@
             for (const one of buffers) chunks.write(one);
             chunks.end(rest, () => {});
           });
-          const usual = await answered((response) => {
+          const expected = await responseText((response) => {
             response.writeHead(200, { 'content-type': 'text/plain' });
             response.flushHeaders();
             for (const one of buffers) response.write(one);
             response.end(rest);
           });
-          assert.equal(own, usual);
+          assert.equal(own, expected);
         },
       ),
       { numRuns: 60 },
@@ -59,7 +61,7 @@
   });
 
   it('leaves an answer with a length as it is', async () => {
-    const text = await answered((response) => {
+    const text = await responseText((response) => {
       response.setHeader('content-length', '5');
       response.writeHead(200);
       response.flushHeaders();
@@ -72,7 +74,7 @@
   });
 
   it('shows no end where the answer breaks off', async () => {
-    const text = await answered((response) => {
+    const text = await responseText((response) => {
       response.writeHead(200, {});
       response.flushHeaders();
       const chunks = BodyWriter.of(response);
@@ -83,7 +85,7 @@
   });
 
   it('does not frame for a caller that knows no chunks', async () => {
-    const text = await answered((response) => {
+    const text = await responseText((response) => {
       response.writeHead(200, {});
       response.flushHeaders();
       const chunks = BodyWriter.of(response);
--- a/test/drift.test.ts
+++ b/test/drift.test.ts
@@ -1,6 +1,8 @@
-// No node drifts back: a front machine that starts empty beside a core that is cut off with an older view
-// does not serve under it; halves of one machine refill each other while control is away; and a machine cut
-// off from every control node follows the news through another one's agent.
+/**
+ * No node goes back to an older view: a front machine that starts empty beside a cut-off core with an older view does
+ * not serve under it, the agent and the proxy of one machine restore each other's view without the control plane, and a
+ * machine that is cut off from every control node receives views through the agent of another.
+ */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import type { FleetKit } from '../tools/fleet-kit.js';
@@ -39,21 +41,21 @@
       .revision;
   const chatAt = (front: Front) =>
     Bench.call(front.listen, '/v1/chat/completions', { model: 'again', messages: [] }, {});
-  const restart = async (front: Front, halves: readonly ('agent' | 'proxy')[]) => {
-    await Promise.all(halves.map((half) => front[half]?.end('SIGKILL')));
-    if (halves.includes('agent')) await bench.kit.startAgent(front);
-    if (halves.includes('proxy')) await bench.kit.startProxy(front);
+  const restart = async (front: Front, programs: readonly ('agent' | 'proxy')[]) => {
+    await Promise.all(programs.map((program) => front[program]?.end('SIGKILL')));
+    if (programs.includes('agent')) await bench.kit.startAgent(front);
+    if (programs.includes('proxy')) await bench.kit.startProxy(front);
   };
   const coreThatIs = async (state: string) => {
     for (;;)
       for (const core of bench.kit.cores) {
-        const told = (await (await fetch(`http://${core.http}/health`)).json()) as { state: string };
-        if (told.state === state) return core;
+        const health = (await (await fetch(`http://${core.http}/health`)).json()) as { state: string };
+        if (health.state === state) return core;
       }
   };
-  const until = async (look: () => Promise<boolean>) => {
-    const began = performance.now();
-    while (!(await look())) assert.ok(performance.now() - began < 20_000, 'it never came');
+  const waitUntil = async (condition: () => Promise<boolean>) => {
+    const startedAt = performance.now();
+    while (!(await condition())) assert.ok(performance.now() - startedAt < 20_000, 'it never came');
   };
 
   for (const state of ['leading', 'following'])
@@ -61,16 +63,16 @@
       await InForce.everywhere(bench.kit);
       const stale = await coreThatIs(state);
       const others = bench.kit.cores.filter((core) => core !== stale);
-      const mates = [far, third, ...others].map((one) => ip(one.wire));
-      const healCore = cut(stale, mates);
-      const healNear = cut(near, mates);
-      await until(async () => {
+      const peers = [far, third, ...others].map((one) => ip(one.wire));
+      const healCore = cut(stale, peers);
+      const healNear = cut(near, peers);
+      await waitUntil(async () => {
         const put = await bench.kit.putManifest({ ...Bench.manifest, note: `beside ${state}` }, others);
         return put.status === 200;
       });
       await InForce.everywhere(bench.kit, [far, third], 20_000, others);
       await restart(near, ['agent', 'proxy']);
-      await until(async () => (await heldBy(near.agentOps)) > 0);
+      await waitUntil(async () => (await heldBy(near.agentOps)) > 0);
       const [old, newest] = await Promise.all([heldBy(stale.http), heldBy(far.ops)]);
       assert.ok(old > 0 && old < newest, `the cut-off core holds ${old}, the others ${newest}`);
       assert.equal(await heldBy(near.agentOps), old);
@@ -88,10 +90,12 @@
     const heal = cut(near, [...cores(), ip(far.wire), ip(third.wire)]);
     const held = await heldBy(near.ops);
     assert.ok(held > 0);
-    for (const half of ['proxy', 'agent', 'proxy'] as const) {
-      await restart(near, [half]);
-      await until(async () => (await heldBy(near.ops)) === held && (await heldBy(near.agentOps)) === held);
-      await until(async () => (await fetch(`http://${near.ops}/ready`)).status === 200);
+    for (const program of ['proxy', 'agent', 'proxy'] as const) {
+      await restart(near, [program]);
+      await waitUntil(
+        async () => (await heldBy(near.ops)) === held && (await heldBy(near.agentOps)) === held,
+      );
+      await waitUntil(async () => (await fetch(`http://${near.ops}/ready`)).status === 200);
     }
     heal();
     await InForce.everywhere(bench.kit);
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,4 +1,7 @@
-// What a node passes up of the nodes below it: all of them now and then, and those that changed at once, alone.
+/**
+ * What a node reports of the nodes below it (changed entries at once, all entries on joining and when asked), what
+ * watchers of a member table are told, and what a parent sends to a child that joined with the view it holds.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Stamp } from '../src/common/stamp.js';
@@ -13,8 +16,8 @@
 import { LinkServer } from '../src/wire/link-server.js';
 import { ParentKit } from './parent-kit.js';
 
-const below = 40;
-const nameOf = (index: number) => `below-${index}`;
+const memberCount = 40;
+const nameOf = (index: number) => `memberCount-${index}`;
 
 const entry = (node: string, counter: number, revision: number): Frame.Entry => ({
   node,
@@ -33,7 +36,7 @@
   vouched: true,
 });
 
-const rollOf = (node: string) =>
+const tableOf = (node: string) =>
   MemberTable.of(() => {
     const { counter: _counter, age: _age, via: _via, ...rest } = entry(node, 0, 1);
     return { ...rest, program: 'agent' };
@@ -42,11 +45,11 @@
 describe('membership', () => {
   it('passes up at once only the entries that changed, and all of them in turn', async () => {
     const feed = Feed.of();
-    const roll = rollOf('relay');
-    const parent = rollOf('parent');
+    const members = tableOf('relay');
+    const parent = tableOf('parent');
     const rolls: (readonly Frame.Entry[])[] = [];
-    let came: () => void = () => {};
-    const doorway = await LinkServer.open({
+    let onFrame: () => void = () => {};
+    const server = await LinkServer.open({
       address: { host: '127.0.0.1', port: 0 },
       stamp: () => Stamp.none,
       age: () => 0,
@@ -55,60 +58,61 @@
         link.send({ kind: 'welcome', self: parent.self(), peers: [], relays: [], version: '', age: 0 });
         for await (const frame of frames) {
           if (frame.kind === 'roll') rolls.push(frame.entries);
-          came();
+          onFrame();
         }
       },
     });
-    const met = (isMet: () => boolean) =>
+    const waitFor = (condition: () => boolean) =>
       new Promise<void>((resolve) => {
-        came = () => {
-          if (isMet()) resolve();
+        onFrame = () => {
+          if (condition()) resolve();
         };
-        came();
+        onFrame();
       });
-    for (let index = 0; index < below; index += 1) roll.update([entry(nameOf(index), 1, 1)], 'child', true);
+    for (let index = 0; index < memberCount; index += 1)
+      members.update([entry(nameOf(index), 1, 1)], 'child', true);
     const uplink = Uplink.run({
       feed,
-      members: roll,
-      seeds: [LinkServer.text(doorway)],
+      members,
+      seeds: [LinkServer.text(server)],
       version: '',
       hasFixedCandidates: true,
       reportsMembers: true,
       note: () => {},
     });
     try {
-      await met(() => rolls.some((entries) => entries.length === below + 1));
+      await waitFor(() => rolls.some((entries) => entries.length === memberCount + 1));
       const before = rolls.length;
-      for (let index = 0; index < 3; index += 1) roll.update([entry(nameOf(index), 2, 2)], 'child', true);
-      const isTold = (entries: readonly Frame.Entry[]) =>
+      for (let index = 0; index < 3; index += 1) members.update([entry(nameOf(index), 2, 2)], 'child', true);
+      const isReported = (entries: readonly Frame.Entry[]) =>
         [0, 1, 2].every((index) =>
           entries.some((one) => one.node === nameOf(index) && one.stamp.revision === 2),
         );
-      await met(() => rolls.slice(before).some(isTold));
-      const short = rolls.slice(before).filter((entries) => entries.length !== below + 1);
+      await waitFor(() => rolls.slice(before).some(isReported));
+      const partial = rolls.slice(before).filter((entries) => entries.length !== memberCount + 1);
       assert.deepEqual(
-        short.map((entries) => entries.map((one) => one.node)),
+        partial.map((entries) => entries.map((one) => one.node)),
         [[0, 1, 2].map(nameOf)],
       );
       const whole = rolls.length;
-      await met(() => rolls.slice(whole).some((entries) => entries.length === below + 1));
+      await waitFor(() => rolls.slice(whole).some((entries) => entries.length === memberCount + 1));
     } finally {
       uplink.stop();
       await uplink.done;
-      await doorway.close();
+      await server.close();
     }
   });
   it('tells who watches the roll of nothing that mates said', () => {
-    const roll = rollOf('core');
+    const members = tableOf('core');
     const seen: (readonly string[])[] = [];
-    roll.watch((changed) => seen.push(changed));
-    roll.update([entry('far', 1, 1)], 'mate', false);
-    roll.update([entry('near', 1, 1)], 'near', true);
-    roll.update([entry('near', 2, 1)], 'near', true);
-    roll.update([entry('near', 3, 2), entry('far', 2, 2)], 'near', true);
+    members.watch((changed) => seen.push(changed));
+    members.update([entry('far', 1, 1)], 'mate', false);
+    members.update([entry('near', 1, 1)], 'near', true);
+    members.update([entry('near', 2, 1)], 'near', true);
+    members.update([entry('near', 3, 2), entry('far', 2, 2)], 'near', true);
     assert.deepEqual(seen, [['near'], ['near', 'far']]);
-    assert.equal(roll.get('near')?.stamp.revision, 2);
-    assert.equal(roll.get('nobody'), undefined);
+    assert.equal(members.get('near')?.stamp.revision, 2);
+    assert.equal(members.get('nobody'), undefined);
   });
   it('sends a child that came with the view held here only what changes of it', async () => {
     const rules = Array.from({ length: 320 }, (_none, index) => ({ name: `rule-${index}` }));
@@ -119,19 +123,19 @@
       return { stamp, platform, manifest: { ...stamp, document } } as unknown as View;
     };
     const feed = Feed.of(viewOf(1));
-    const roll = rollOf('parent');
-    const children = Children.of(roll);
-    const doorway = await LinkServer.open({
+    const members = tableOf('parent');
+    const children = Children.of(members);
+    const server = await LinkServer.open({
       address: { host: '127.0.0.1', port: 0 },
       stamp: feed.stamp,
       age: () => 0,
       note: () => {},
       serve: (link, hello, frames) =>
-        Downlink.serve(link, hello, frames, ParentKit.needs(feed, roll, { children })),
+        Downlink.serve(link, hello, frames, ParentKit.needs(feed, members, { children })),
     });
     const firstNews = async (held: Stamp) => {
-      const link = await Link.open(doorway.address, { stamp: () => held, age: () => 0 });
-      const self = { ...rollOf(`child-${held.revision}`).self(), stamp: held };
+      const link = await Link.open(server.address, { stamp: () => held, age: () => 0 });
+      const self = { ...tableOf(`child-${held.revision}`).self(), stamp: held };
       link.send({ kind: 'hello', self, version: '', aim: 'session' });
       for await (const frame of link.frames()) {
         if (frame.kind === 'roster') feed.offer(viewOf(feed.stamp().revision + 1));
@@ -150,7 +154,7 @@
       const whole = await firstNews(Stamp.of(1, 1));
       assert.equal(whole?.kind, 'news');
     } finally {
-      await doorway.close();
+      await server.close();
     }
   });
 });
--- a/test/news.test.ts
+++ b/test/news.test.ts
@@ -1,5 +1,7 @@
-// News down the tree of relays: the agents of a zone form it themselves, and a change is in force at every
-// node that can be reached within three seconds, with a relay killed, frozen or cut in that very moment.
+/**
+ * Distribution of views through the tree of relays: the agents of a zone form the tree themselves, and a change is in
+ * force at every reachable node within three seconds, also when a relay is killed, frozen or cut off at that moment.
+ */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import type { FleetKit } from '../tools/fleet-kit.js';
@@ -8,7 +10,7 @@
 
 type Front = FleetKit.Front;
 
-const inForceWithin = 3000;
+const inForceWithinMs = 3000;
 
 describe('news', () => {
   let bench: Bench;
@@ -19,7 +21,7 @@
   });
   after(() => bench.stop());
 
-  const agentOf = async (front: Front) =>
+  const agentHealth = async (front: Front) =>
     (await (await fetch(`http://${front.agentOps}/health`)).json()) as {
       depth: number;
       parent: string;
@@ -27,39 +29,39 @@
       stamp: { revision: number };
     };
   const zoneFronts = () => bench.kit.fronts.filter((front) => front.zone === 'a-1');
-  const formed = async (): Promise<{ relays: Front[]; lower: Front[] }> => {
+  const waitForTree = async (): Promise<{ relays: Front[]; lower: Front[] }> => {
     for (;;) {
-      const told = await Promise.all(
-        zoneFronts().map(async (front) => ({ front, agent: await agentOf(front) })),
+      const states = await Promise.all(
+        zoneFronts().map(async (front) => ({ front, agent: await agentHealth(front) })),
       );
-      const relays = told.filter((one) => one.agent.depth === 1).map((one) => one.front);
-      const lower = told.filter((one) => one.agent.depth === 2).map((one) => one.front);
+      const relays = states.filter((one) => one.agent.depth === 1).map((one) => one.front);
+      const lower = states.filter((one) => one.agent.depth === 2).map((one) => one.front);
       if (relays.length === 2 && lower.length === 3) return { relays, lower };
     }
   };
-  const changeWhile = async (breakIt: () => unknown, among: readonly Front[]): Promise<void> => {
+  const changeWhile = async (injectFault: () => unknown, among: readonly Front[]): Promise<void> => {
     changes += 1;
     const put = bench.kit.putManifest({ ...Bench.manifest, note: `change ${changes}` });
-    breakIt();
+    injectFault();
     const answer = await put;
     assert.equal(answer.status, 200);
-    const took = await InForce.everywhere(bench.kit, [...among]);
-    assert.ok(took < inForceWithin, `in force after ${took} ms`);
+    const elapsedMs = await InForce.everywhere(bench.kit, [...among]);
+    assert.ok(elapsedMs < inForceWithinMs, `in force after ${elapsedMs} ms`);
   };
-  const busiest = async (): Promise<Front> => {
-    const { relays } = await formed();
-    const counts = await Promise.all(relays.map(async (front) => (await agentOf(front)).children));
+  const busiestRelay = async (): Promise<Front> => {
+    const { relays } = await waitForTree();
+    const counts = await Promise.all(relays.map(async (front) => (await agentHealth(front)).children));
     return relays[counts[0]! >= counts[1]! ? 0 : 1]!;
   };
 
   it('forms two relays in a zone with the others below them', async () => {
-    const { lower } = await formed();
-    for (const front of lower) assert.match((await agentOf(front)).parent, /^a-1-front-.*-agent$/);
+    const { lower } = await waitForTree();
+    for (const front of lower) assert.match((await agentHealth(front)).parent, /^a-1-front-.*-agent$/);
     await changeWhile(() => {}, bench.kit.fronts);
   });
 
   it('gets past a relay that is killed in that moment', async () => {
-    const relay = await busiest();
+    const relay = await busiestRelay();
     const others = bench.kit.fronts.filter((front) => front !== relay);
     await changeWhile(() => relay.agent?.signal('SIGKILL'), others);
     await relay.agent?.ended;
@@ -69,10 +71,10 @@
 
   it('gets past a relay that freezes in that moment', async () => {
     await changeWhile(() => {}, bench.kit.fronts);
-    const told = await Promise.all(
-      zoneFronts().map(async (front) => ({ front, agent: await agentOf(front) })),
+    const states = await Promise.all(
+      zoneFronts().map(async (front) => ({ front, agent: await agentHealth(front) })),
     );
-    const relay = told.sort((a, b) => b.agent.children - a.agent.children)[0]!.front;
+    const relay = states.sort((a, b) => b.agent.children - a.agent.children)[0]!.front;
     const others = bench.kit.fronts.filter((front) => front !== relay);
     await changeWhile(() => relay.agent?.signal('SIGSTOP'), others);
     relay.agent?.signal('SIGCONT');
@@ -80,10 +82,10 @@
   });
 
   it('gets past a relay that is cut off from the cores in that moment, and catches up after', async () => {
-    const told = await Promise.all(
-      zoneFronts().map(async (front) => ({ front, agent: await agentOf(front) })),
+    const states = await Promise.all(
+      zoneFronts().map(async (front) => ({ front, agent: await agentHealth(front) })),
     );
-    const relay = told.sort((a, b) => b.agent.children - a.agent.children)[0]!.front;
+    const relay = states.sort((a, b) => b.agent.children - a.agent.children)[0]!.front;
     const ip = (address: string) => address.split(':')[0]!;
     const cores = bench.kit.cores.map((core) => ip(core.wire));
     const others = bench.kit.fronts.filter((front) => front !== relay);
--- a/test/parent-kit.ts
+++ b/test/parent-kit.ts
@@ -1,4 +1,7 @@
-// What a parent in a test needs beside its feed and its roll: no peers, no relays, nobody else's turn.
+/**
+ * The options of a downlink that a test needs besides its feed and member table: no peers, no relays, and a transfer
+ * queue of its own.
+ */
 import { Children } from '../src/membership/children.js';
 import type { Downlink } from '../src/membership/downlink.js';
 import type { MemberTable } from '../src/membership/member-table.js';
@@ -6,11 +9,12 @@
 import { TransferQueue } from '../src/membership/transfer-queue.js';
 import type { Feed } from '../src/news/feed.js';
 
+/** Options for the parent of a test. */
 export const ParentKit = {
-  needs: (feed: Feed, roll: MemberTable, others: Partial<Downlink.Options> = {}): Downlink.Options => ({
+  needs: (feed: Feed, members: MemberTable, others: Partial<Downlink.Options> = {}): Downlink.Options => ({
     feed,
-    members: roll,
-    children: Children.of(roll),
+    members: members,
+    children: Children.of(members),
     peers: () => [],
     relays: () => [],
     isRelay: () => false,
--- a/test/repair.test.ts
+++ b/test/repair.test.ts
@@ -1,5 +1,7 @@
-// Copies compared by digests over ranges: only what differs is sent, what is put together is what was
-// meant, and a copy that cannot be mended is never taken.
+/**
+ * Views compared by the digests of their ranges: only ranges that differ are sent, a patched view equals the intended
+ * one, and a patch that cannot be applied is never taken.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Epoch } from '../src/common/epoch.js';
@@ -103,12 +105,12 @@
       const patch = patchTo(after, Ranges.digests(Ranges.cut(first)));
       const lists = bodies(patch).filter((name) => name !== 'meta');
       assert.ok(lists.length <= 1, `${lists.join()} were sent`);
-      const mended = Ranges.applyPatch(Ranges.cut(first), patch);
+      const patched = Ranges.applyPatch(Ranges.cut(first), patch);
       assert.equal(
-        JSON.stringify(Object.entries(mended.manifest!.document.teams)),
+        JSON.stringify(Object.entries(patched.manifest!.document.teams)),
         JSON.stringify(Object.entries(after.manifest!.document.teams)),
       );
-      assert.deepEqual(mended, after);
+      assert.deepEqual(patched, after);
     }
   });
   it('names what the other copy holds in a row by one line, also where parts have the same content', () => {
@@ -128,7 +130,7 @@
     assert.deepEqual(bodies(patch), ['meta', 'rules/21']);
     assert.equal(patch.ranges.length, Ranges.cut(after, 'position').size);
     assert.deepEqual(Ranges.applyPatch(earlier, patch, 'position'), after);
-    assert.throws(() => Ranges.applyPatch(held, patch), /cannot be mended|another seal/);
+    assert.throws(() => Ranges.applyPatch(held, patch), /is missing or its digest differs|different seal/);
   });
   it('keeps what a change leaves alone as the very objects they were, read once and compiled once', () => {
     const bare = before.manifest!.document.rules.map(({ body: _body, ...rule }) => rule);
@@ -138,21 +140,21 @@
     };
     const start = Ranges.applyPatch(Ranges.cut(View.empty), patchTo(plain as View, []));
     const after = { ...makeView(6, names, 71), manifest: plain.manifest } as View;
-    const mended = Ranges.applyPatch(Ranges.cut(start), patchTo(after, Ranges.digests(Ranges.cut(start))));
-    assert.deepEqual(mended, after);
+    const patched = Ranges.applyPatch(Ranges.cut(start), patchTo(after, Ranges.digests(Ranges.cut(start))));
+    assert.deepEqual(patched, after);
     const document = start.manifest!.document;
-    assert.equal(mended.manifest!.document.rules[999], document.rules[999]);
-    assert.equal(mended.manifest!.document.groups, document.groups);
-    assert.equal(mended.platform.servers[0], start.platform.servers[0]);
-    assert.notEqual(mended.platform.servers[70], start.platform.servers[70]);
-    const [one, other] = [Compiled.of(start)!, Compiled.of(mended)!];
+    assert.equal(patched.manifest!.document.rules[999], document.rules[999]);
+    assert.equal(patched.manifest!.document.groups, document.groups);
+    assert.equal(patched.platform.servers[0], start.platform.servers[0]);
+    assert.notEqual(patched.platform.servers[70], start.platform.servers[70]);
+    const [one, other] = [Compiled.of(start)!, Compiled.of(patched)!];
     assert.equal(other.rules[999], one.rules[999]);
     const limits = { body_bytes: 5 };
-    const limited = { ...mended, manifest: { ...mended.manifest!, document: { ...document, limits } } };
+    const limited = { ...patched, manifest: { ...patched.manifest!, document: { ...document, limits } } };
     const third = Compiled.of(limited)!;
     assert.notEqual(third.rules[999], one.rules[999]);
     assert.equal(third.rules[999]!.body, 5, 'other limits make other rules');
-    assert.equal(Compiled.of(mended)!.rules[999]!.body, one.rules[999]!.body);
+    assert.equal(Compiled.of(patched)!.rules[999]!.body, one.rules[999]!.body);
   });
 
   it('mends from nothing when the whole is sent', () => {
@@ -161,14 +163,14 @@
   it('compresses patches and views for those that read them so, over the wire, and for no others', () => {
     const after = makeView(6, names.with(700, 'changed').with(3, 'changed-too'));
     const none = new Uint8Array();
-    const over = <T extends Frame.Body>(body: T) => {
+    const transmit = <T extends Frame.Body>(body: T) => {
       const frame = Frame.encode(Stamp.none, body);
       return { length: frame.length, body: Frame.decode(frame.subarray(4)) as unknown as T };
     };
     const patch = ViewCache.patch(after, Ranges.digests(held), 'name');
     assert.equal(ViewCache.patch(after, Ranges.digests(held), 'name'), patch);
-    const plain = over({ kind: 'patch', ...patch, compressed: none } as const);
-    const short = over({
+    const plain = transmit({ kind: 'patch', ...patch, compressed: none } as const);
+    const short = transmit({
       kind: 'patch',
       seal: patch.seal,
       ranges: [] as typeof patch.ranges,
@@ -178,8 +180,12 @@
     for (const { body } of [plain, short])
       assert.deepEqual(Ranges.applyPatch(held, ViewCache.decodePatch(body)), after);
     assert.equal(plain.body.compressed.length, 0);
-    const whole = over({ kind: 'news', view: ViewCache.bytes(after), compressed: none } as const);
-    const news = over({ kind: 'news', view: none, compressed: ViewCache.compressedSmall(after) } as const);
+    const whole = transmit({ kind: 'news', view: ViewCache.bytes(after), compressed: none } as const);
+    const news = transmit({
+      kind: 'news',
+      view: none,
+      compressed: ViewCache.compressedSmall(after),
+    } as const);
     assert.ok(news.length < whole.length / 4, `${news.length} of ${whole.length} bytes`);
     for (const { body } of [whole, news]) assert.deepEqual(ViewCache.decodeView(body), after);
   });
@@ -196,22 +202,25 @@
   });
   it('takes no view that lacks a range, has a changed one, or has another seal', () => {
     const patch = patchTo(makeView(6, names.with(700, 'changed')));
-    assert.throws(() => Ranges.applyPatch(Ranges.cut(View.empty), patch), /cannot be mended/);
+    assert.throws(() => Ranges.applyPatch(Ranges.cut(View.empty), patch), /is missing or its digest differs/);
     const place = rangeOf(makeView(6, names.with(700, 'changed')), 'changed');
     const forged = patch.ranges.map((range) =>
       range.name === place ? { ...range, body: range.body.replace('changed', 'altered') } : range,
     );
-    assert.throws(() => Ranges.applyPatch(held, { ...patch, ranges: forged }), /cannot be mended/);
+    assert.throws(
+      () => Ranges.applyPatch(held, { ...patch, ranges: forged }),
+      /is missing or its digest differs/,
+    );
     assert.throws(
       () => Ranges.applyPatch(held, { ...patch, ranges: patch.ranges.slice(0, -1) }),
-      /another seal/,
+      /different seal/,
     );
     const longer = patch.ranges.map((range) =>
       range.count > 1 ? { ...range, count: range.count + 1 } : range,
     );
     assert.throws(
       () => Ranges.applyPatch(held, { ...patch, ranges: longer }),
-      /cannot be mended|another seal/,
+      /is missing or its digest differs|different seal/,
     );
   });
 });
--- a/test/rolls.test.ts
+++ b/test/rolls.test.ts
@@ -1,5 +1,8 @@
-// Rolls and rosters by what changed: a heartbeat speaks for all entries whose digest the parent holds, entries that
-// were not heard of go on ageing, and whoever holds something else is told the whole.
+/**
+ * Member tables and rosters are sent as changes: a heartbeat confirms all entries whose digest the parent holds,
+ * entries that were not renewed continue to age, and a parent or child that holds something else receives the complete
+ * list.
+ */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import { Stamp } from '../src/common/stamp.js';
@@ -14,7 +17,7 @@
 import { Protocol } from '../src/wire/protocol.js';
 import { ParentKit } from './parent-kit.js';
 
-const said = (node: string, part: Partial<Frame.Entry> = {}) => ({
+const fieldsOf = (node: string, part: Partial<Frame.Entry> = {}) => ({
   node,
   program: 'proxy',
   zone: 'a-1',
@@ -29,19 +32,19 @@
   ...part,
 });
 const entry = (node: string, counter: number, part: Partial<Frame.Entry> = {}): Frame.Entry => ({
-  ...said(node),
+  ...fieldsOf(node),
   counter,
   age: 0,
   via: '',
   ...part,
 });
-const rollOf = (node: string) => MemberTable.of(() => said(node, { program: 'agent' }));
-const nodesOf = (roll: MemberTable) => roll.all().map((one) => one.node);
+const tableOf = (node: string) => MemberTable.of(() => fieldsOf(node, { program: 'agent' }));
+const nodesOf = (members: MemberTable) => members.all().map((one) => one.node);
 const below = Array.from({ length: 40 }, (_none, index) => `below-${index}`);
 
 describe('roll', () => {
-  const lay = () => {
-    const [child, parent] = [rollOf('child'), rollOf('parent')];
+  const createTables = () => {
+    const [child, parent] = [tableOf('child'), tableOf('parent')];
     child.update(
       below.map((node) => entry(node, 1)),
       'leaf',
@@ -51,7 +54,7 @@
     return { child, parent };
   };
   it('takes a heartbeat for all entries that are the same, and for none when one is not', () => {
-    const { child, parent } = lay();
+    const { child, parent } = createTables();
     assert.equal(parent.applyHeartbeat(child.heartbeat(), 'child'), true);
     child.update([entry('below-3', 2, { ready: false })], 'leaf', true);
     assert.equal(parent.applyHeartbeat(child.heartbeat(), 'child'), false);
@@ -62,7 +65,7 @@
     assert.equal(parent.applyHeartbeat(child.heartbeat(), 'another'), false);
   });
   it('makes young again what a heartbeat speaks for, and gives what it names its true age', () => {
-    const { child, parent } = lay();
+    const { child, parent } = createTables();
     parent.update([entry('below-0', 2, { age: 3000 })], 'child', true);
     assert.equal(parent.applyHeartbeat(child.heartbeat(), 'child'), true);
     assert.ok(parent.get('below-0')!.age < 3000);
@@ -78,7 +81,7 @@
     assert.ok(parent.heartbeat().stale.some(({ node }) => node === 'below-7'));
   });
   it('lets age what was struck off or is missing in the whole, until it comes another way', () => {
-    const { child, parent } = lay();
+    const { child, parent } = createTables();
     parent.markDeparted(['below-1'], 'another');
     assert.equal(parent.applyHeartbeat(child.heartbeat(), 'child'), true);
     parent.markDeparted(['below-1'], 'child');
@@ -94,7 +97,7 @@
     assert.equal(parent.get('below-2')?.via, 'elsewhere');
   });
   it('ends entries of which nothing came for long, and tells who watches', () => {
-    const { child } = lay();
+    const { child } = createTables();
     const seen: string[] = [];
     child.watch((changed) => seen.push(...changed));
     child.update([entry('below-5', 2, { age: MemberTable.expiryMs + 1 })], 'leaf', true);
@@ -107,83 +110,83 @@
 });
 
 describe('sessions', () => {
-  const parent = rollOf('parent');
+  const parent = tableOf('parent');
   const roster = Roster.of();
   const counts = new Map<string, number>();
-  let came: () => void = () => {};
-  let doorway: LinkServer;
-  const met = (isMet: () => boolean) =>
+  let onFrame: () => void = () => {};
+  let server: LinkServer;
+  const waitFor = (condition: () => boolean) =>
     new Promise<void>((resolve) => {
-      came = () => {
-        if (isMet()) resolve();
+      onFrame = () => {
+        if (condition()) resolve();
       };
-      came();
+      onFrame();
     });
   const feed = Feed.of();
-  async function* counted(frames: AsyncGenerator<Frame, void, void>) {
+  async function* countFrames(frames: AsyncGenerator<Frame, void, void>) {
     for await (const frame of frames) {
       const kind = frame.kind === 'roll' ? (frame.whole ? 'whole' : 'changes') : frame.kind;
       counts.set(kind, (counts.get(kind) ?? 0) + 1);
       yield frame;
-      came();
+      onFrame();
     }
   }
   before(async () => {
-    doorway = await LinkServer.open({
+    server = await LinkServer.open({
       address: { host: '127.0.0.1', port: 0 },
       stamp: feed.stamp,
       age: () => 0,
       note: () => {},
       serve: (link, hello, frames) =>
-        Downlink.serve(link, hello, counted(frames), ParentKit.needs(feed, parent, { roster })),
+        Downlink.serve(link, hello, countFrames(frames), ParentKit.needs(feed, parent, { roster })),
     });
   });
-  after(() => doorway.close());
+  after(() => server.close());
 
   it('passes up the whole once, then what changed and heartbeats, and the whole again when asked', async () => {
-    const child = rollOf('child');
+    const child = tableOf('child');
     child.update(
       below.map((node) => entry(node, 1)),
       'leaf',
       true,
     );
-    const keep = setInterval(() => {
+    const renewal = setInterval(() => {
       const entries = child.descendants().map((one) => ({ ...one, counter: one.counter + 1, age: 0 }));
       child.update(entries, 'leaf', true);
     }, 500);
     const uplink = Uplink.run({
       feed: Feed.of(),
       members: child,
-      seeds: [LinkServer.text(doorway)],
+      seeds: [LinkServer.text(server)],
       version: '',
       hasFixedCandidates: true,
       reportsMembers: true,
       note: () => {},
     });
     try {
-      const beats = Math.ceil(MemberTable.expiryMs / 1000) + 2;
-      await met(() => (counts.get('heartbeat') ?? 0) >= beats);
+      const heartbeats = Math.ceil(MemberTable.expiryMs / 1000) + 2;
+      await waitFor(() => (counts.get('heartbeat') ?? 0) >= heartbeats);
       assert.equal(counts.get('whole'), 1);
       assert.equal(counts.get('changes') ?? 0, 0);
       assert.equal(nodesOf(parent).length, below.length + 2);
       child.update([entry('below-9', 1000, { stamp: Stamp.of(1, 2) })], 'leaf', true);
-      await met(() => parent.get('below-9')?.stamp.revision === 2);
+      await waitFor(() => parent.get('below-9')?.stamp.revision === 2);
       assert.equal(counts.get('whole'), 1);
       assert.equal(counts.get('changes'), 1);
       parent.removeVia('child');
       assert.deepEqual(nodesOf(parent), ['parent']);
-      await met(() => nodesOf(parent).length === below.length + 2);
+      await waitFor(() => nodesOf(parent).length === below.length + 2);
       assert.equal(counts.get('whole'), 2);
     } finally {
-      clearInterval(keep);
+      clearInterval(renewal);
       uplink.stop();
       await uplink.done;
     }
   });
 
   const names = Array.from({ length: 610 }, (_none, index) => `proxy-${index}`).sort();
-  const join = async (protocol: number) => {
-    const link = await Link.open(doorway.address, { stamp: () => Stamp.none, age: () => 0 });
+  const connect = async (protocol: number) => {
+    const link = await Link.open(server.address, { stamp: () => Stamp.none, age: () => 0 });
     link.send({
       kind: 'hello',
       self: entry(`by-hand-${protocol}`, 1),
@@ -203,8 +206,8 @@
   };
   it('sends of the roster what came and went, and the whole to who asks or knows no changes', async () => {
     roster.set(names);
-    const { link, nextRoster } = await join(Protocol.newest);
-    const earlier = await join(Protocol.none);
+    const { link, nextRoster } = await connect(Protocol.newest);
+    const earlier = await connect(Protocol.none);
     const first = await nextRoster();
     assert.deepEqual([first.proxies, first.added, first.departed], [[], [], []]);
     assert.equal(Roster.after([], first), undefined);
@@ -224,33 +227,33 @@
     earlier.link.close();
   });
   it('keeps a roster over sessions, tells each change once, and asks once for the whole when it missed something', async () => {
-    const heard: (readonly string[])[] = [];
+    const received: (readonly string[])[] = [];
     roster.set(names);
     const uplink = Uplink.run({
       feed: Feed.of(),
-      members: rollOf('listener'),
-      seeds: [LinkServer.text(doorway)],
+      members: tableOf('listener'),
+      seeds: [LinkServer.text(server)],
       version: '',
       hasFixedCandidates: true,
       reportsMembers: true,
       onRoster(proxies) {
-        heard.push(proxies);
-        came();
+        received.push(proxies);
+        onFrame();
       },
       note: () => {},
     });
     counts.clear();
     try {
-      await met(() => heard.length === 1);
-      assert.deepEqual(heard[0], names);
+      await waitFor(() => received.length === 1);
+      assert.deepEqual(received[0], names);
       assert.equal(counts.get('inquire'), 1);
       roster.set(names.slice(1));
-      await met(() => heard.length === 2);
-      assert.deepEqual(heard[1], names.slice(1));
+      await waitFor(() => received.length === 2);
+      assert.deepEqual(received[1], names.slice(1));
       roster.set(names);
       roster.set(names.slice(2));
-      await met(() => heard.length === 4);
-      assert.deepEqual(heard[3], names.slice(2));
+      await waitFor(() => received.length === 4);
+      assert.deepEqual(received[3], names.slice(2));
       assert.equal(counts.get('inquire'), 1);
     } finally {
       uplink.stop();
--- a/test/word-age.test.ts
+++ b/test/word-age.test.ts
@@ -1,6 +1,8 @@
-// Word from the primary grows old on its way. The time that a word takes between two nodes is not in the age that it
-// names, so a node passes it on to others by its own beat alone: two agents that came to stand below each other and
-// passed it on at once would keep it young for as long as they did.
+/**
+ * The age of the last message from the primary has to grow on its way. The transfer time between two nodes is not part
+ * of the age, so a node passes it on over a socket only with its periodic pings: two agents that became each other's
+ * parent and passed it on at once would keep it low for as long as they stayed so.
+ */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { type AddressInfo, createServer, type Socket } from 'node:net';
@@ -11,7 +13,7 @@
 import { LogBuffer } from '../src/log/log-buffer.js';
 import { Link } from '../src/wire/link.js';
 
-const terms = { stamp: () => Stamp.none, age: () => 0 };
+const linkOptions = { stamp: () => Stamp.none, age: () => 0 };
 const burst = 200;
 
 describe('word from the primary', () => {
@@ -25,13 +27,13 @@
       LogBuffer.of('agent'),
     );
     const [socket] = (await once(core, 'connection')) as [Socket];
-    const above = Link.fromSocket(socket, { ...terms, pingEvery: 60_000, silence: 60_000 });
+    const above = Link.fromSocket(socket, { ...linkOptions, pingEvery: 60_000, silence: 60_000 });
     const frames = above.frames();
     const { value: hello } = await frames.next();
     assert.ok(hello?.kind === 'hello');
     const self = { ...hello.self, node: 'core', program: 'control' };
     above.send({ kind: 'welcome', self, peers: [], relays: [], version: '', age: 0 });
-    const child = await Link.open(Address.checked(agent.ready.wire!), terms);
+    const child = await Link.open(Address.checked(agent.ready.wire!), linkOptions);
     const below = child.frames();
     const next = async (kind: string): Promise<string[]> => {
       const kinds: string[] = [];
--- a/test/word.test.ts
+++ b/test/word.test.ts
@@ -1,5 +1,7 @@
-// The first word from the primary that names the view held is passed on at once, not with the next ping: a node
-// that starts empty serves nothing before it hears it.
+/**
+ * The first message from the primary that confirms the view held is passed on at once and not with the next ping, since
+ * a node that starts empty serves nothing before it receives one.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Stamp } from '../src/common/stamp.js';
@@ -21,7 +23,7 @@
   } as unknown as View;
 };
 
-const rollOf = (node: string) =>
+const tableOf = (node: string) =>
   MemberTable.of(() => ({
     node,
     program: 'agent',
@@ -58,21 +60,21 @@
 
   it('is passed to a child in the moment it is heard', async () => {
     const feed = Feed.of(viewOf(1));
-    const roll = rollOf('parent');
+    const members = tableOf('parent');
     let age = 1;
-    const doorway = await LinkServer.open({
+    const server = await LinkServer.open({
       address: { host: '127.0.0.1', port: 0 },
       stamp: feed.stamp,
       age: () => age,
       note: () => {},
       serve: (link, hello, frames) =>
-        Downlink.serve(link, hello, frames, ParentKit.needs(feed, roll, { age: () => age })),
+        Downlink.serve(link, hello, frames, ParentKit.needs(feed, members, { age: () => age })),
     });
-    const link = await Link.open(doorway.address, { stamp: () => Stamp.of(1, 1), age: () => 0 });
+    const link = await Link.open(server.address, { stamp: () => Stamp.of(1, 1), age: () => 0 });
     try {
       link.send({
         kind: 'hello',
-        self: { ...rollOf('child').self(), program: 'proxy' },
+        self: { ...tableOf('child').self(), program: 'proxy' },
         version: '',
         aim: 'session',
       });
@@ -90,25 +92,30 @@
       assert.ok(pings.includes(7));
     } finally {
       link.close();
-      await doorway.close();
+      await server.close();
     }
   });
 
   it('brings no news to other cores from one that is not their source, unless they ask', async () => {
     const feed = Feed.of(viewOf(1));
-    const roll = rollOf('second');
+    const members = tableOf('second');
     let isFirstHand = false;
-    const doorway = await LinkServer.open({
+    const server = await LinkServer.open({
       address: { host: '127.0.0.1', port: 0 },
       stamp: feed.stamp,
       age: () => 0,
       note: () => {},
       serve: (link, hello, frames) =>
-        Downlink.serve(link, hello, frames, ParentKit.needs(feed, roll, { isViewSource: () => isFirstHand })),
+        Downlink.serve(
+          link,
+          hello,
+          frames,
+          ParentKit.needs(feed, members, { isViewSource: () => isFirstHand }),
+        ),
     });
     const open = async (program: 'control' | 'agent') => {
-      const link = await Link.open(doorway.address, { stamp: () => Stamp.of(1, 1), age: () => 0 });
-      const self = { ...rollOf(program).self(), program };
+      const link = await Link.open(server.address, { stamp: () => Stamp.of(1, 1), age: () => 0 });
+      const self = { ...tableOf(program).self(), program };
       link.send({ kind: 'hello', self, version: '', aim: 'session' });
       const frames = link.frames();
       const until = async (isWanted: (frame: Frame) => boolean): Promise<string[]> => {
@@ -141,7 +148,7 @@
     } finally {
       core.link.close();
       agent.link.close();
-      await doorway.close();
+      await server.close();
     }
   });
 });
