--- a/src/membership/member-table.ts
+++ b/src/membership/member-table.ts
@@ -122,7 +122,7 @@
           member.left = Instant.earliest(member.left, until);
         }
     };
-    const note = (entries: readonly Frame.Entry[], via: string, isBelow: boolean) => {
+    const update = (entries: readonly Frame.Entry[], via: string, isBelow: boolean) => {
       const changed: string[] = [];
       const own = describe().node;
       for (const entry of entries) {
@@ -146,9 +146,9 @@
     };
     return {
       self,
-      update: note,
+      update,
       replace(entries, via, isBelow) {
-        note(entries, via, isBelow);
+        update(entries, via, isBelow);
         const listed = new Set(entries.map((entry) => entry.node));
         markAllDeparted(via, (node) => !listed.has(node));
       },
--- a/src/membership/uplink.ts
+++ b/src/membership/uplink.ts
@@ -338,7 +338,7 @@
           if (frame.kind === 'ping') handlePing(frame, link);
           else handleFrame(frame, link);
       } catch (error) {
-        if (phase.is('joined')) options.note('session ended', { address: address, why: Failure.text(error) });
+        if (phase.is('joined')) options.note('session ended', { place: address, why: Failure.text(error) });
       } finally {
         candidates.markFailed(address);
         current = undefined;
--- a/src/membership/view-sender.ts
+++ b/src/membership/view-sender.ts
@@ -42,10 +42,10 @@
 const immediateMaxLength = 32 * 1024;
 
 /**
- * A patch is sent only when it is at most this fraction (one in two) of the view. A larger one saves nothing over the
+ * A patch is sent only when it is at most the length of the view divided by this. A larger one saves nothing over the
  * whole view, which is compressed once for all children.
  */
-const patchFraction = 2;
+const patchDivisor = 2;
 
 const lengthCache = new WeakMap<Ranges, number>();
 
@@ -98,7 +98,7 @@
       }
     };
     const isPatchSmaller = (patch: Ranges.Patch) =>
-      reusesRanges(patch) && lengthOfPatch(patch) <= lengthOfView(ranges()) / patchFraction;
+      reusesRanges(patch) && lengthOfPatch(patch) <= lengthOfView(ranges()) / patchDivisor;
     // The whole view is encoded and compressed only for a child that needs most of it.
     const sendLarge = async (): Promise<void> => {
       const compressed = isPatchSmaller(currentPatch()) ? undefined : await compress();
--- a/src/news/view-confirmation.ts
+++ b/src/news/view-confirmation.ts
@@ -14,7 +14,7 @@
   readonly isConfirmed: () => boolean;
   /** Checks again, after a ping was recorded. */
   readonly check: () => void;
-  /** The other process of this machine holds a confirmed view with this stamp: no older one may be put in force. */
+  /** The other process of this machine holds a confirmed view with this stamp: a view that is not older counts as confirmed. */
   readonly confirmFrom: (stamp: Stamp) => void;
 };
 
--- a/test/cut-off.test.ts
+++ b/test/cut-off.test.ts
@@ -112,7 +112,7 @@
         );
         const taken = await putAt(others);
         const first503 = await rival;
-        assert.ok([412, 503].includes(first503.status), `the putManifest at the cut: ${first503.status}`);
+        assert.ok([412, 503].includes(first503.status), `the order at the cut: ${first503.status}`);
         if (first503.status === 412) assert.ok(role === 'following' || direction === 'in');
         const answerTimes: number[] = [];
         for (const path of queries) {
@@ -125,7 +125,7 @@
         for (const etag of [before.etag, '"1"']) {
           const asked = performance.now();
           const answer = await putManifest(isolated, `late ${role} ${direction}`, etag);
-          isRefused(answer, performance.now() - asked, `${role} ${direction} putManifest ${etag}`);
+          isRefused(answer, performance.now() - asked, `${role} ${direction} order ${etag}`);
         }
         heal();
         const answers = await Promise.all([
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -17,7 +17,7 @@
 import { ParentKit } from './parent-kit.js';
 
 const memberCount = 40;
-const nameOf = (index: number) => `memberCount-${index}`;
+const nameOf = (index: number) => `below-${index}`;
 
 const entry = (node: string, counter: number, revision: number): Frame.Entry => ({
   node,
