--- a/test/parent-kit.ts
+++ b/test/parent-kit.ts
@@ -13,7 +13,7 @@
 export const ParentKit = {
   needs: (feed: Feed, members: MemberTable, others: Partial<Downlink.Options> = {}): Downlink.Options => ({
     feed,
-    members: members,
+    members,
     children: Children.of(members),
     peers: () => [],
     relays: () => [],
