--- a/src/control/commands/put-manifest.ts
+++ b/src/control/commands/put-manifest.ts
@@ -37,7 +37,7 @@
 });
 
 /** Older documents are read one by one, and only when they are asked for. */
-const keptDocuments = ({ manifests }: State): WallChange.Kept => ({
+const keptDocuments = ({ manifests }: State): WallChange.History => ({
   at: (index) => manifests.at(index)?.document,
   some: (is) => manifests.some(({ document }) => is(document)),
 });
--- a/src/manifest/compiled.ts
+++ b/src/manifest/compiled.ts
@@ -20,8 +20,8 @@
   readonly regions: readonly Id.Region[];
   readonly limits: Document.Limits;
   readonly walls: Wall.Walls | undefined;
-  readonly openTeam: Compiled.Team | undefined;
-  readonly findTeam: (key: string) => Compiled.Team | undefined;
+  readonly anonymousTeam: Compiled.Team | undefined;
+  readonly findTeamByKey: (key: string) => Compiled.Team | undefined;
 };
 
 export declare namespace Compiled {
@@ -44,7 +44,7 @@
     readonly warmup: Document.Warmup | undefined;
     readonly connections: number | undefined;
     readonly memory: number | undefined;
-    readonly wall: Wall.Way | undefined;
+    readonly wall: Wall.Mechanism | undefined;
     readonly isNotRun: (status: number, headers: Readonly<Record<string, unknown>>) => boolean;
     readonly concurrent: number;
     readonly ejection: Ejection;
@@ -64,15 +64,15 @@
   type Retry = {
     readonly on: ReadonlySet<string>;
     readonly codes: ReadonlySet<number>;
-    readonly count: number;
-    readonly base: number;
-    readonly max: number;
+    readonly maxRetries: number;
+    readonly baseBackoffMs: number;
+    readonly maxBackoffMs: number;
   };
   type Rule = {
     readonly name: string;
     readonly match: Document.Rule['match'];
     /** What a path must begin with, where any path that does is taken. */
-    readonly prefix: string | undefined;
+    readonly pathPrefix: string | undefined;
     readonly steps: readonly Step[];
     readonly isOnce: boolean;
     readonly isResumable: boolean;
@@ -87,9 +87,9 @@
     readonly timeouts: Document.Timeouts;
     readonly bounds: Document.Timeouts;
     readonly retry: Retry;
-    readonly isAffine: boolean;
-    readonly isShared: boolean;
-    readonly body: number;
+    readonly hasAffinity: boolean;
+    readonly usesSharedWall: boolean;
+    readonly maxBodyBytes: number;
     readonly teams: readonly Id.Team[] | undefined;
   };
 }
@@ -110,7 +110,7 @@
   return {
     name: rule.name,
     match: rule.match,
-    prefix: rule.match.path.endsWith('/*') ? rule.match.path.slice(0, -1) : undefined,
+    pathPrefix: rule.match.path.endsWith('/*') ? rule.match.path.slice(0, -1) : undefined,
     steps: [
       { groups: rule.groups, model: undefined },
       ...(rule.fallback ?? []).map((step) => ({ groups: step.groups, model: step.model })),
@@ -138,13 +138,13 @@
         ],
       ),
       codes: new Set(rule.retry?.codes ?? [429]),
-      count: rule.retry?.count ?? 2,
-      base: rule.retry?.base ?? 25,
-      max: rule.retry?.max ?? 1000,
+      maxRetries: rule.retry?.count ?? 2,
+      baseBackoffMs: rule.retry?.base ?? 25,
+      maxBackoffMs: rule.retry?.max ?? 1000,
     },
-    isAffine: rule.affinity ?? true,
-    isShared: rule.wall === 'shared',
-    body: Math.min(rule.body ?? limits.body_bytes ?? longestBody, limits.body_bytes ?? longestOfAll),
+    hasAffinity: rule.affinity ?? true,
+    usesSharedWall: rule.wall === 'shared',
+    maxBodyBytes: Math.min(rule.body ?? limits.body_bytes ?? longestBody, limits.body_bytes ?? longestOfAll),
     teams: rule.teams,
   };
 };
@@ -183,7 +183,7 @@
   warmup: group.warmup,
   connections: group.connections,
   memory: group.memory,
-  wall: walls && Wall.wayOf(walls, group),
+  wall: walls && Wall.mechanismOf(walls, group),
   isNotRun: (status, headers) =>
     (group.not_run ?? []).some(
       (one) =>
@@ -247,8 +247,8 @@
       regions: [...new Set(Object.values(zones).map((zone) => zone.region))],
       limits: document.limits ?? {},
       walls: Wall.of(document),
-      openTeam,
-      findTeam: (key) => teams.get(createHash('sha256').update(key).digest('hex')),
+      anonymousTeam: openTeam,
+      findTeamByKey: (key) => teams.get(createHash('sha256').update(key).digest('hex')),
     };
   },
 };
--- a/src/manifest/view.ts
+++ b/src/manifest/view.ts
@@ -40,7 +40,7 @@
     return bytes;
   },
   /** Stands for the view within this process, and is no bytes of it. */
-  inside(view: View): Uint8Array {
+  encodeInProcess(view: View): Uint8Array {
     const token = new Uint8Array();
     decoded.set(token, view);
     return token;
--- a/src/manifest/wall-change.ts
+++ b/src/manifest/wall-change.ts
@@ -11,7 +11,7 @@
 
 export declare namespace WallChange {
   /** The documents that are kept, the newest last. */
-  type Kept = {
+  type History = {
     readonly at: (index: number) => Document | undefined;
     readonly some: (is: (document: Document) => boolean) => boolean;
   };
@@ -43,7 +43,7 @@
 };
 
 export const WallChange = {
-  of(kept: WallChange.Kept, after: Document, make: () => string): WallChange {
+  of(kept: WallChange.History, after: Document, make: () => string): WallChange {
     const before = kept.at(-1);
     const { walls } = after;
     if (!walls) return { kind: 'good', document: after, what: tell(before, after) };
@@ -56,12 +56,12 @@
     if (last && last.secret !== secret && walls.generation <= last.generation)
       Guard.report(findings, '/walls/generation', `must rise above ${last.generation} with a new secret`);
     for (const [name, group] of Object.entries(after.groups)) {
-      const way = Wall.wayOf(resolved, group);
+      const way = Wall.mechanismOf(resolved, group);
       if (way.kind !== 'alone') continue;
       const isOther = (document: Document) => {
         const known = document.groups[name];
         if (!known) return false;
-        const earlier = document.walls && Wall.wayOf(document.walls, known);
+        const earlier = document.walls && Wall.mechanismOf(document.walls, known);
         return earlier?.kind !== 'alone' || earlier.wall !== way.wall;
       };
       if (kept.some(isOther))
--- a/src/manifest/wall.ts
+++ b/src/manifest/wall.ts
@@ -9,7 +9,7 @@
 
 export declare namespace Wall {
   /** How servers of a group keep walls; "open" ones keep no prompts. */
-  type Way =
+  type Mechanism =
     | { readonly kind: 'field' | 'header'; readonly name: string }
     | { readonly kind: 'alone'; readonly wall: string }
     | { readonly kind: 'refused' }
@@ -44,7 +44,7 @@
   return { name, generation, salt: Buffer.from(bytes).toString('base64url') };
 };
 
-const wayOf = (walls: Document.Walls, { kind, wall }: Document.Group): Wall.Way => {
+const mechanismOf = (walls: Document.Walls, { kind, wall }: Document.Group): Wall.Mechanism => {
   if (!wall) return { kind: kind === 'plain' ? 'open' : 'refused' };
   if (wall.by !== 'none') return { kind: wall.by, name: wall.name ?? published };
   return wall.for === undefined ? { kind: 'refused' } : { kind: 'alone', wall: nameFor(walls, wall.for) };
@@ -52,7 +52,7 @@
 
 export const Wall = {
   nameFor,
-  wayOf,
+  mechanismOf: mechanismOf,
   of(document: Document): Wall.Walls | undefined {
     const { walls } = document;
     if (!walls) return undefined;
@@ -71,7 +71,7 @@
     };
   },
   /** Whether a request may go to servers that keep walls in this way; what can't be told is refused. */
-  mayGo(wall: Wall | undefined, way: Wall.Way | undefined, hasForeignBody: boolean): boolean {
+  isAllowed(wall: Wall | undefined, way: Wall.Mechanism | undefined, hasForeignBody: boolean): boolean {
     if (!wall || !way) return wall === way;
     if (way.kind === 'alone') return way.wall === wall.name;
     return way.kind === 'open' || way.kind === 'header' || (way.kind === 'field' && !hasForeignBody);
--- a/src/membership/dispatch.ts
+++ b/src/membership/dispatch.ts
@@ -93,7 +93,7 @@
       await link.flushed();
     };
     const hand = () => {
-      link.send({ kind: 'news', view: View.inside(feed.view()), compressed: new Uint8Array() });
+      link.send({ kind: 'news', view: View.encodeInProcess(feed.view()), compressed: new Uint8Array() });
       link.send({ kind: 'ping', age: age() });
     };
     const send = () => {
--- a/src/proxy/cache-salt.ts
+++ b/src/proxy/cache-salt.ts
@@ -15,7 +15,7 @@
   hasOpaqueBody: ({ body, prompt }: Call): boolean =>
     body !== undefined && body.length > 0 && prompt?.json === undefined,
   /** Returns the body for a server, with the model of the rule step and the salt of the tenant. */
-  body({ wall, body, prompt, compiled }: Call, model: string | undefined, way: Wall.Way | undefined) {
+  body({ wall, body, prompt, compiled }: Call, model: string | undefined, way: Wall.Mechanism | undefined) {
     const json = prompt?.json;
     if (!json || (model === undefined && !wall)) return body ?? null;
     const fields = wall ? compiled?.walls?.fields : undefined;
@@ -31,7 +31,7 @@
   /** Returns the headers for a server, with the salt of the tenant. */
   headers(
     { wall, compiled }: Call,
-    way: Wall.Way | undefined,
+    way: Wall.Mechanism | undefined,
     headers: Readonly<Record<string, string>>,
   ): Readonly<Record<string, string>> {
     if (!wall) return headers;
--- a/src/proxy/filters/admit.ts
+++ b/src/proxy/filters/admit.ts
@@ -55,7 +55,7 @@
   headers: NodeJS.Dict<string | string[]>,
 ): boolean => {
   const { match } = rule;
-  const matchesPath = rule.prefix === undefined ? match.path === path : path.startsWith(rule.prefix);
+  const matchesPath = rule.pathPrefix === undefined ? match.path === path : path.startsWith(rule.pathPrefix);
   if (!matchesPath) return false;
   if (match.host !== undefined && match.host !== readHost(headers)) return false;
   if (match.method !== undefined && match.method !== method) return false;
@@ -76,7 +76,7 @@
   if (!compiled) return noManifest;
   if (needs.active() > needs.maxConcurrent) return crowded;
   const key = call.dialect.isOpenAi ? readKey(call.incoming.headers) : undefined;
-  const team = key === undefined ? compiled.openTeam : compiled.findTeam(key);
+  const team = key === undefined ? compiled.anonymousTeam : compiled.findTeamByKey(key);
   if (!team) return noKey;
   call.compiled = compiled;
   call.team = team;
@@ -107,7 +107,7 @@
 };
 
 const receiveBody = async (call: Call, candidates: readonly Compiled.Rule[]): Promise<Filter.Step> => {
-  const maxBytes = Math.max(...candidates.map((rule) => rule.body));
+  const maxBytes = Math.max(...candidates.map((rule) => rule.maxBodyBytes));
   const total = Math.min(
     call.requestInfo.timeLeft ?? Instant.never,
     Math.max(...candidates.map((rule) => rule.timeouts.total)),
--- a/src/proxy/filters/attempt.ts
+++ b/src/proxy/filters/attempt.ts
@@ -120,7 +120,7 @@
   }
 
   private readonly mayGo = (group: Compiled.Group): boolean =>
-    Wall.mayGo(this.call.wall, group.wall, CacheSalt.hasOpaqueBody(this.call));
+    Wall.isAllowed(this.call.wall, group.wall, CacheSalt.hasOpaqueBody(this.call));
 
   private pickDependencies(): Pick.Needs {
     const { needs } = this;
--- a/src/proxy/filters/match-rule.ts
+++ b/src/proxy/filters/match-rule.ts
@@ -53,12 +53,13 @@
         code: 'no_rule',
         text: 'no rule matches this path, method, model and team',
       });
-    if ((call.body?.length ?? 0) > rule.body) return Responses.refuse(call, Responses.bodyTooLong(rule.body));
+    if ((call.body?.length ?? 0) > rule.maxBodyBytes)
+      return Responses.refuse(call, Responses.bodyTooLong(rule.maxBodyBytes));
     const asked = call.incoming.headers[timeoutsHeader];
     const timeouts = asked === undefined ? rule.timeouts : parseTimeouts(String(asked), rule);
     if (!timeouts) return refuseTimeouts(call, rule);
     call.rule = rule;
-    if (rule.isShared) call.wall = call.compiled?.walls?.shared();
+    if (rule.usesSharedWall) call.wall = call.compiled?.walls?.shared();
     call.timeouts = timeouts;
     const left = Math.min(timeouts.total, call.requestInfo.timeLeft ?? timeouts.total);
     call.deadline = Instant.after(left, call.arrivedAt);
--- a/src/upstream/tries.ts
+++ b/src/upstream/tries.ts
@@ -103,7 +103,7 @@
 
 /** Exponential backoff with jitter: 50 to 100 percent of the capped interval. */
 const backOff = (retry: Compiled.Retry, retryCount: number, random: () => number): number =>
-  Math.min(retry.max, retry.base * 2 ** retryCount) * (0.5 + random() / 2);
+  Math.min(retry.maxBackoffMs, retry.baseBackoffMs * 2 ** retryCount) * (0.5 + random() / 2);
 
 function* decide(plan: Tries.Plan): Generator<Tries.Step, Tries, UpstreamTry | undefined> {
   const { rule } = plan;
@@ -126,7 +126,7 @@
       );
       const candidates = rule.weights ? Weights.draw(eligible, rule.weights, needs.random) : eligible;
       const want = rule.aim === undefined ? undefined : plan.want;
-      const pick = Pick.choose(candidates, rule.isAffine ? plan.key : undefined, needs, want);
+      const pick = Pick.choose(candidates, rule.hasAffinity ? plan.key : undefined, needs, want);
       if (pick) return { pick, index };
     }
     return undefined;
@@ -152,7 +152,7 @@
   const isResumption = sent > 0;
   const isOver = () => plan.signal.aborted || Instant.isPast(plan.deadline);
 
-  if (sent > rule.retry.count) return finish('attempts');
+  if (sent > rule.retry.maxRetries) return finish('attempts');
   if (sent > 0 && isOver()) return finish('total');
   let next = choose(0, true);
   if (!next) {
@@ -201,7 +201,7 @@
     if (!isRetriable(result, rule.retry)) return finish();
     if (rule.isOnce && mayHaveRun) return finish();
     if (isUncharged && tries > maxTriesIfUnsent) return finish();
-    const canRetry = isUncharged || retries < rule.retry.count;
+    const canRetry = isUncharged || retries < rule.retry.maxRetries;
     const untried = choose(canRetry ? tierIndex : tierIndex + 1, true);
     const isHop = untried !== undefined && untried.index > tierIndex;
     if (untried && (!isHop || hops < rule.hops)) {
--- a/test/link-pair.test.ts
+++ b/test/link-pair.test.ts
@@ -61,7 +61,7 @@
     const bytes = View.encode(View.empty);
     assert.equal(View.decode(bytes), View.empty);
     assert.deepEqual(View.decode(Buffer.from(bytes)), View.empty);
-    assert.equal(View.decode(View.inside(View.empty)), View.empty);
+    assert.equal(View.decode(View.encodeInProcess(View.empty)), View.empty);
   });
   it('deliver messages and views to a proxy in the process of the agent without a socket', async () => {
     const seed = createServer();
--- a/test/lookout.test.ts
+++ b/test/lookout.test.ts
@@ -57,7 +57,7 @@
     return [...new Set(all)].sort();
   };
   const untilAnswers = (wanted: readonly string[]) =>
-    PlatformKit.until(
+    PlatformKit.waitUntil(
       async () => ((await answers(15)).join() === wanted.join() ? true : undefined),
       `answers by ${wanted.join()}`,
     );
@@ -69,7 +69,7 @@
     kit = await PlatformKit.start({ fronts: ['sto-a', 'got-a'] });
     for (const instance of ['i-1', 'i-2', 'i-3']) available.set(instance, await serverOf(instance));
     kit.list.instances = [listed('i-1'), listed('i-2')];
-    const put = await kit.order('/configuration/replace', JSON.stringify(configuration), {
+    const put = await kit.sendCommand('/configuration/replace', JSON.stringify(configuration), {
       'base-revision': '0',
     });
     assert.equal(put.status, 200);
@@ -86,7 +86,7 @@
   it('is looked at by a core alone, and a server that leaves gets nothing more', {
     timeout: 40_000,
   }, async () => {
-    const primary = await kit.primary();
+    const primary = await kit.findPrimary();
     const [other, left] = kit.cores.filter((core) => core !== primary);
     await Promise.all([primary, other!].map((core) => core.process?.end('SIGKILL')));
     kit.list.instances = [listed('i-1', { state: 'draining' }), listed('i-2')];
--- a/test/platform-control.test.ts
+++ b/test/platform-control.test.ts
@@ -44,13 +44,13 @@
   });
   after(() => kit.stop());
 
-  const replace = (body: string, base = current) => kit.order('/configuration/replace', body, on(base));
+  const replace = (body: string, base = current) => kit.sendCommand('/configuration/replace', body, on(base));
   const advance = async (more: object = {}): Promise<void> => {
     const body = written(current + 3, more);
     assert.equal((await replace(body)).status, 200);
     [current, words] = [current + 3, body];
   };
-  const placesOf = ({ body }: PlatformKit.Answer): string[] =>
+  const placesOf = ({ body }: PlatformKit.Response): string[] =>
     ((body.error as { findings?: { place: string }[] }).findings ?? []).map((one) => one.place).sort();
 
   it('polls the list before any configuration, page by page', async () => {
@@ -71,7 +71,7 @@
       assert.equal(read.text, words);
       assert.match(String(read.headers['content-type']), /application\/json/);
     }
-    const { manifest, platform } = await kit.observe((view) => view.platform.servers.length === 5);
+    const { manifest, platform } = await kit.waitForView((view) => view.platform.servers.length === 5);
     assert.equal(manifest?.document.source?.number, current);
     assert.deepEqual(platform.servers[0], {
       instance: 'i-0',
@@ -91,7 +91,7 @@
     current += 2;
     await advance();
     assert.equal((await replace(body, base)).status, 200);
-    assert.equal(await kit.read(), words);
+    assert.equal(await kit.readConfiguration(), words);
   });
 
   it('tells a stale base by 412 and a number that is not above by 400', async () => {
@@ -101,7 +101,7 @@
     assert.equal(low.status, 400);
     assert.deepEqual(placesOf(low), ['/source/number']);
     assert.equal((await replace(written(current, { note: 'same number' }))).status, 400);
-    assert.equal(await kit.read(), words);
+    assert.equal(await kit.readConfiguration(), words);
   });
 
   it('tells what is invalid by 400 with every place, and changes nothing', async () => {
@@ -134,10 +134,10 @@
       ['/revision', '/route-table', '/services/0/name'],
       ['/'],
     ]);
-    const noBase = await kit.order('/configuration/replace', written(current + 5));
+    const noBase = await kit.sendCommand('/configuration/replace', written(current + 5));
     assert.equal(noBase.status, 400);
     assert.deepEqual(placesOf(noBase), ['Base-Revision']);
-    assert.equal(await kit.read(), words);
+    assert.equal(await kit.readConfiguration(), words);
   });
 
   it('lets exactly one of two on the same base win', async () => {
@@ -147,7 +147,7 @@
     const winner = answers.findIndex((one) => one.status === 200);
     current += [4, 7][winner]!;
     words = bodies[winner]!;
-    assert.equal(await kit.read(), words);
+    assert.equal(await kit.readConfiguration(), words);
   });
 
   it('takes a configuration of hundreds of routes, and one of megabytes', async () => {
@@ -158,40 +158,40 @@
     }));
     await advance({ 'route-table': routes });
     await advance({ note: 'x'.repeat(4 * 1024 * 1024) });
-    assert.equal(await kit.read(), words);
+    assert.equal(await kit.readConfiguration(), words);
     await advance();
   });
 
   it('evacuates a zone and takes it back, across a replace and a takeover', async () => {
-    assert.equal((await kit.order('/evacuation/nowhere/begin')).status, 404);
-    assert.equal((await kit.order('/evacuation/sto-a/begin')).status, 200);
-    assert.equal((await kit.order('/evacuation/sto-a/begin')).status, 200);
-    assert.equal((await kit.order('/evacuation/got-a/begin')).status, 200);
-    await kit.observe((view) => view.manifest?.document.evacuations?.join() === 'sto-a,got-a');
+    assert.equal((await kit.sendCommand('/evacuation/nowhere/begin')).status, 404);
+    assert.equal((await kit.sendCommand('/evacuation/sto-a/begin')).status, 200);
+    assert.equal((await kit.sendCommand('/evacuation/sto-a/begin')).status, 200);
+    assert.equal((await kit.sendCommand('/evacuation/got-a/begin')).status, 200);
+    await kit.waitForView((view) => view.manifest?.document.evacuations?.join() === 'sto-a,got-a');
     await advance();
-    const primary = await kit.primary();
+    const primary = await kit.findPrimary();
     await primary.process?.end('SIGKILL');
     await advance();
-    const view = await kit.observe((one) => one.manifest?.document.source?.number === current);
+    const view = await kit.waitForView((one) => one.manifest?.document.source?.number === current);
     assert.deepEqual(view.manifest?.document.evacuations, ['sto-a', 'got-a']);
-    assert.equal((await kit.order('/evacuation/sto-a/finish')).status, 200);
-    assert.equal((await kit.order('/evacuation/sto-a/finish')).status, 200);
-    await kit.observe((one) => one.manifest?.document.evacuations?.join() === 'got-a');
-    assert.equal(await kit.read(), words);
+    assert.equal((await kit.sendCommand('/evacuation/sto-a/finish')).status, 200);
+    assert.equal((await kit.sendCommand('/evacuation/sto-a/finish')).status, 200);
+    await kit.waitForView((one) => one.manifest?.document.evacuations?.join() === 'got-a');
+    assert.equal(await kit.readConfiguration(), words);
     await kit.startCore(primary);
-    assert.equal((await kit.order('/evacuation/got-a/finish')).status, 200);
+    assert.equal((await kit.sendCommand('/evacuation/got-a/finish')).status, 200);
   });
 
   it('takes changes of the list under the primary of the moment, and a countdown as none', async () => {
     const { list } = kit;
-    const primary = await kit.primary();
+    const primary = await kit.findPrimary();
     await primary.process?.end('SIGKILL');
     list.instances = [
       ListServer.instance('i-9', 'got-a', { state: 'draining' }),
       warmingFor(60_000),
       ListServer.instance('i-7', 'unheard-of'),
     ];
-    const { platform } = await kit.observe((view) => view.platform.servers.length === 2);
+    const { platform } = await kit.waitForView((view) => view.platform.servers.length === 2);
     assert.deepEqual(
       platform.servers.map(({ instance, isLeaving }) => ({ instance, isLeaving })),
       [
@@ -203,7 +203,7 @@
     assert.ok(warming > 40_000 && warming <= 60_000, `warming ${warming}`);
     await list.polls(5);
     list.instances[1] = warmingFor(90_000);
-    const again = await kit.observe((view) => (view.platform.servers[1]?.warming ?? 0) > 80_000);
+    const again = await kit.waitForView((view) => (view.platform.servers[1]?.warming ?? 0) > 80_000);
     assert.equal(again.platform.serial, platform.serial + 1);
     await kit.startCore(primary);
   });
@@ -211,7 +211,7 @@
   it('keeps the list when a poll fails, gives nothing or is over the rate', async () => {
     const { list } = kit;
     const held = list.instances;
-    const before = await kit.observe((view) => view.platform.servers.length === 2);
+    const before = await kit.waitForView((view) => view.platform.servers.length === 2);
     list.instances = [];
     await list.polls(2);
     list.instances = [{ 'instance-id': 'broken' }];
@@ -222,20 +222,20 @@
     await list.polls(2);
     list.instances = [...held, ListServer.instance('i-6', 'sto-a')];
     list.status = 200;
-    const later = await kit.observe((view) => view.platform.servers.length === 3);
+    const later = await kit.waitForView((view) => view.platform.servers.length === 3);
     assert.equal(later.platform.serial, before.platform.serial + 1);
   });
 
   it('keeps what it acknowledged when all cores are killed at once', async () => {
-    assert.equal((await kit.order('/evacuation/sto-b/begin')).status, 200);
+    assert.equal((await kit.sendCommand('/evacuation/sto-b/begin')).status, 200);
     await advance();
     await Promise.all(kit.cores.map((core) => core.process?.end('SIGKILL')));
     await Promise.all(kit.cores.map(kit.startCore));
-    assert.equal(await kit.read(), words);
+    assert.equal(await kit.readConfiguration(), words);
     assert.equal((await replace(words, current - 3)).status, 200);
     const stale = await replace(written(current + 1), current - 3);
     assert.equal(stale.status, 412);
-    const view = await kit.observe((one) => one.manifest?.document.source?.number === current);
+    const view = await kit.waitForView((one) => one.manifest?.document.source?.number === current);
     assert.deepEqual(view.manifest?.document.evacuations, ['sto-b']);
   });
 });
@@ -256,7 +256,7 @@
     return { status: answer.statusCode, addresses: (body.addresses ?? []).sort() };
   };
   const shows = (zone: string, wanted: readonly string[], core = kit.cores[0]!) =>
-    PlatformKit.until(async () => {
+    PlatformKit.waitUntil(async () => {
       const found = await resolve(zone, core);
       return found.status === 200 && found.addresses.join() === [...wanted].sort().join() ? found : undefined;
     }, `${zone} is told ${wanted.join()}`);
@@ -270,7 +270,7 @@
   });
 
   it('tells callers the nearest ready proxies, from any core', async () => {
-    assert.equal((await kit.order('/configuration/replace', written(1), on(0))).status, 200);
+    assert.equal((await kit.sendCommand('/configuration/replace', written(1), on(0))).status, 200);
     for (const core of kit.cores) {
       await shows('sto-a', listenOf(0, 1), core);
       await shows('sto-b', listenOf(0, 1), core);
@@ -300,9 +300,9 @@
   });
 
   it('counts the proxies of an evacuated zone as not ready', async () => {
-    assert.equal((await kit.order('/evacuation/sto-a/begin')).status, 200);
+    assert.equal((await kit.sendCommand('/evacuation/sto-a/begin')).status, 200);
     await shows('sto-a', listenOf(2));
-    assert.equal((await kit.order('/evacuation/sto-a/finish')).status, 200);
+    assert.equal((await kit.sendCommand('/evacuation/sto-a/finish')).status, 200);
     await shows('sto-a', listenOf(0, 1));
   });
 
--- a/test/platform-kit.ts
+++ b/test/platform-kit.ts
@@ -28,16 +28,16 @@
     path: string,
     body?: string | Uint8Array,
     headers?: Record<string, string>,
-  ) => Promise<PlatformKit.Answer>;
+  ) => Promise<PlatformKit.Response>;
   /** As the operator does it: repeated unchanged, to the next node after a 5xx or silence. */
-  readonly order: (
+  readonly sendCommand: (
     path: string,
     body?: string | Uint8Array,
     headers?: Record<string, string>,
-  ) => Promise<PlatformKit.Answer>;
-  readonly read: () => Promise<string>;
-  readonly primary: () => Promise<PlatformKit.Core>;
-  readonly observe: (see: (view: View) => boolean) => Promise<View>;
+  ) => Promise<PlatformKit.Response>;
+  readonly readConfiguration: () => Promise<string>;
+  readonly findPrimary: () => Promise<PlatformKit.Core>;
+  readonly waitForView: (see: (view: View) => boolean) => Promise<View>;
   readonly stop: () => Promise<void>;
 };
 
@@ -45,7 +45,7 @@
   type Machine = { readonly node: string; readonly zone: string; readonly ip: string; process?: Process };
   type Core = Machine & { readonly http: string; readonly directory: string; readonly data: string };
   type Front = Machine & { readonly listen: string; readonly ready: string };
-  type Answer = {
+  type Response = {
     readonly status: number;
     readonly text: string;
     readonly body: Record<string, unknown>;
@@ -98,7 +98,7 @@
       ...more,
     };
   },
-  async until<T>(look: () => Promise<T | undefined> | T | undefined, what: string): Promise<T> {
+  async waitUntil<T>(look: () => Promise<T | undefined> | T | undefined, what: string): Promise<T> {
     const began = performance.now();
     for (;;) {
       const found = await look();
@@ -192,9 +192,9 @@
       onCold() {},
       note() {},
     });
-    const order: PlatformKit['order'] = (path, body, headers) => {
+    const order: PlatformKit['sendCommand'] = (path, body, headers) => {
       let turn = 0;
-      return PlatformKit.until(async () => {
+      return PlatformKit.waitUntil(async () => {
         const core = cores[turn++ % cores.length]!;
         const answer = await call(core, 'POST', path, body, headers).catch(() => undefined);
         return answer && answer.status < 500 ? answer : undefined;
@@ -208,24 +208,24 @@
       startCore,
       startFront,
       call,
-      order,
-      read() {
+      sendCommand: order,
+      readConfiguration() {
         let turn = 0;
-        return PlatformKit.until(async () => {
+        return PlatformKit.waitUntil(async () => {
           const core = cores[turn++ % cores.length]!;
           const answer = await call(core, 'GET', '/configuration/read').catch(() => undefined);
           return answer?.status === 200 ? answer.text : undefined;
         }, 'the configuration is read back');
       },
-      primary: () =>
-        PlatformKit.until(async () => {
+      findPrimary: () =>
+        PlatformKit.waitUntil(async () => {
           for (const core of cores) {
             const health = await call(core, 'GET', '/health').catch(() => undefined);
             if (health?.body.state === 'leading') return core;
           }
           return undefined;
         }, 'a core leads'),
-      observe: (see) =>
+      waitForView: (see) =>
         new Promise((resolve, reject) => {
           const late = setTimeout(() => {
             unwatch();
--- a/test/repair.test.ts
+++ b/test/repair.test.ts
@@ -151,8 +151,8 @@
     const limited = { ...mended, manifest: { ...mended.manifest!, document: { ...document, limits } } };
     const third = Compiled.of(limited)!;
     assert.notEqual(third.rules[999], one.rules[999]);
-    assert.equal(third.rules[999]!.body, 5, 'other limits make other rules');
-    assert.equal(Compiled.of(mended)!.rules[999]!.body, one.rules[999]!.body);
+    assert.equal(third.rules[999]!.maxBodyBytes, 5, 'other limits make other rules');
+    assert.equal(Compiled.of(mended)!.rules[999]!.maxBodyBytes, one.rules[999]!.maxBodyBytes);
   });
 
   it('mends from nothing when the whole is sent', () => {
--- a/test/settings-change.test.ts
+++ b/test/settings-change.test.ts
@@ -60,7 +60,7 @@
     for (const core of kit.cores) writeFileSync(fileOf(core), 'node-name: [');
     await Promise.all(
       kit.cores.map((core) =>
-        PlatformKit.until(async () => {
+        PlatformKit.waitUntil(async () => {
           const log = await kit.call(core, 'GET', '/log');
           return log.text.includes('the settings file cannot be used') ? true : undefined;
         }, `${core.node} says so`),
--- a/test/walls-manifest.test.ts
+++ b/test/walls-manifest.test.ts
@@ -125,15 +125,15 @@
   it('refuse what can’t be told', () => {
     const wall = Wall.of(good)!.of('testers' as never)!;
     const by = { kind: 'field', name: 'cache_salt' } as const;
-    assert.equal(Wall.mayGo(undefined, undefined, true), true);
-    assert.equal(Wall.mayGo(undefined, by, false), false);
-    assert.equal(Wall.mayGo(wall, undefined, false), false);
-    assert.equal(Wall.mayGo(wall, by, false), true);
-    assert.equal(Wall.mayGo(wall, by, true), false);
-    assert.equal(Wall.mayGo(wall, { kind: 'header', name: 'x' }, true), true);
-    assert.equal(Wall.mayGo(wall, { kind: 'refused' }, false), false);
-    assert.equal(Wall.mayGo(wall, { kind: 'alone', wall: 'team others' }, false), false);
-    assert.equal(Wall.mayGo(wall, { kind: 'alone', wall: 'team testers' }, false), true);
+    assert.equal(Wall.isAllowed(undefined, undefined, true), true);
+    assert.equal(Wall.isAllowed(undefined, by, false), false);
+    assert.equal(Wall.isAllowed(wall, undefined, false), false);
+    assert.equal(Wall.isAllowed(wall, by, false), true);
+    assert.equal(Wall.isAllowed(wall, by, true), false);
+    assert.equal(Wall.isAllowed(wall, { kind: 'header', name: 'x' }, true), true);
+    assert.equal(Wall.isAllowed(wall, { kind: 'refused' }, false), false);
+    assert.equal(Wall.isAllowed(wall, { kind: 'alone', wall: 'team others' }, false), false);
+    assert.equal(Wall.isAllowed(wall, { kind: 'alone', wall: 'team testers' }, false), true);
   });
 });
 
--- a/tools/platform/rehearsal.ts
+++ b/tools/platform/rehearsal.ts
@@ -114,6 +114,6 @@
       rmSync(place, { recursive: true, force: true });
     }
     setFlagsFromString('--flush-bytecode');
-    code.keep();
+    code.writeCache();
   },
 };
