--- a/src/manifest/check.ts
+++ b/src/manifest/check.ts
@@ -1,45 +1,49 @@
-// Checking a manifest: first its form, then that every name it uses is one it defines and that its
-// parts do not contradict each other. All findings come back together, each with its place.
+/**
+ * Validates manifests and server lists: first the schema, then that every referenced name is defined and that the parts
+ * do not contradict each other. All findings are reported together, each with its JSON pointer.
+ */
 import { Guard } from '../common/guard.js';
 import { Document } from './document.js';
 
-type Known = (name: string) => boolean;
+type IsDefined = (name: string) => boolean;
 
+/** The result of validating a manifest. */
 export type Check =
   | { readonly kind: 'good'; readonly document: Document }
   | { readonly kind: 'bad'; readonly findings: readonly Guard.Finding[] };
 
+/** Reports names that are not defined or occur twice. `what` is the kind of name, for the message. */
 const checkNames = (
   names: readonly string[] | undefined,
   place: string,
-  known: Known,
+  isDefined: IsDefined,
   what: string,
   findings: Guard.Finding[],
 ) =>
   names?.forEach((name, index) => {
-    if (!known(name)) Guard.report(findings, `${place}/${index}`, `names no ${what}: ${name}`);
+    if (!isDefined(name)) Guard.report(findings, `${place}/${index}`, `names no ${what}: ${name}`);
     if (names.indexOf(name) !== index) Guard.report(findings, `${place}/${index}`, `is named twice: ${name}`);
   });
 
-const checkGroups = (document: Document, regions: Known, findings: Guard.Finding[]) => {
+const checkGroups = (document: Document, isRegion: IsDefined, findings: Guard.Finding[]) => {
   for (const [name, group] of Object.entries(document.groups)) {
     const place = `/groups/${name}`;
-    checkNames(group.regions, `${place}/regions`, regions, 'region of any zone', findings);
+    checkNames(group.regions, `${place}/regions`, isRegion, 'region of any zone', findings);
     if (group.kind === 'model' && !group.models)
       Guard.report(findings, `${place}/models`, 'is missing for a group of kind model');
     if (group.kind === 'plain' && !group.identity?.service && !group.proof)
       Guard.report(findings, `${place}/identity/service`, 'is missing for a group of kind plain');
-    for (const [part, at] of [
+    for (const [field, location] of [
       ['service/at', group.identity?.service?.at],
       ['instance', group.identity?.instance],
     ] as const)
-      if (at && (at.header === undefined) === (at.pointer === undefined))
-        Guard.report(findings, `${place}/identity/${part}`, 'must name one of header and pointer');
+      if (location && (location.header === undefined) === (location.pointer === undefined))
+        Guard.report(findings, `${place}/identity/${field}`, 'must have either header or pointer');
   }
 };
 
 const checkTeams = (document: Document, findings: Guard.Finding[]) => {
-  const isHome: Known = (name) => Object.hasOwn(document.homes, name);
+  const isHome: IsDefined = (name) => Object.hasOwn(document.homes, name);
   const owners = new Map<string, string>();
   for (const [name, team] of Object.entries(document.teams)) {
     const place = `/teams/${name}`;
@@ -61,85 +65,88 @@
   if (rule.weights === undefined) return;
   for (const name of Object.keys(rule.weights))
     if (!rule.groups.some((group) => group === name))
-      Guard.report(findings, `${place}/weights/${name}`, 'is no group of this rule');
+      Guard.report(findings, `${place}/weights/${name}`, 'is not a group of this rule');
   const sum = rule.groups.reduce((total, group) => total + (rule.weights?.[group] ?? 0), 0);
   if (sum <= 0) Guard.report(findings, `${place}/weights`, 'must sum to more than 0');
 };
 
 const checkRule = (document: Document, rule: Document.Rule, place: string, findings: Guard.Finding[]) => {
-  const isGroup: Known = (name) => Object.hasOwn(document.groups, name);
-  const isRegion: Known = (name) => Object.values(document.zones).some((zone) => zone.region === name);
+  const isGroup: IsDefined = (name) => Object.hasOwn(document.groups, name);
+  const isRegion: IsDefined = (name) => Object.values(document.zones).some((zone) => zone.region === name);
   checkNames(rule.groups, `${place}/groups`, isGroup, 'group', findings);
   checkNames(rule.spill, `${place}/spill`, isRegion, 'region of any zone', findings);
   checkNames(rule.home?.regions, `${place}/home/regions`, isRegion, 'region of any zone', findings);
   checkWeights(rule, place, findings);
   checkNames(rule.teams, `${place}/teams`, (name) => Object.hasOwn(document.teams, name), 'team', findings);
   const steps = [
-    { groups: rule.groups, model: undefined, at: `${place}/groups` },
+    { groups: rule.groups, model: undefined, pointer: `${place}/groups` },
     ...(rule.fallback ?? []).map((step, index) => ({
       groups: step.groups,
       model: step.model,
-      at: `${place}/fallback/${index}/groups`,
+      pointer: `${place}/fallback/${index}/groups`,
     })),
   ];
-  for (const step of steps.slice(1)) checkNames(step.groups, step.at, isGroup, 'group', findings);
-  for (const { groups, model, at } of steps)
+  for (const step of steps.slice(1)) checkNames(step.groups, step.pointer, isGroup, 'group', findings);
+  for (const { groups, model, pointer } of steps)
     groups.forEach((name, index) => {
       const group = document.groups[name];
-      const wanted = model !== undefined ? [model] : (rule.match.models ?? []);
-      for (const one of wanted)
-        if (group && !group.models?.includes(one) && !group.adapters?.includes(one))
-          Guard.report(findings, `${at}/${index}`, `the group ${name} does not serve ${one}`);
+      const requiredModels = model !== undefined ? [model] : (rule.match.models ?? []);
+      for (const required of requiredModels)
+        if (group && !group.models?.includes(required) && !group.adapters?.includes(required))
+          Guard.report(findings, `${pointer}/${index}`, `the group ${name} does not serve ${required}`);
     });
   for (const [name, bound] of Object.entries(rule.bounds ?? {}))
     if (bound < (rule.timeouts?.[name as keyof Document.Timeouts] ?? 0))
       Guard.report(findings, `${place}/bounds/${name}`, 'is below the timeout of the rule itself');
 };
 
+/** Checks the cache isolation (`walls`) of tenants and of each server group. */
 const checkWalls = (document: Document, findings: Guard.Finding[]) => {
   const { walls } = document;
-  const isTeam: Known = (name) => Object.hasOwn(document.teams, name);
-  const owned = new Map<string, string>();
+  const isTeam: IsDefined = (name) => Object.hasOwn(document.teams, name);
+  const ownerOfTeam = new Map<string, string>();
   for (const [name, { teams }] of Object.entries(walls?.owners ?? {})) {
     const place = `/walls/owners/${name}`;
     if (isTeam(name)) Guard.report(findings, place, 'is the name of a team');
     checkNames(teams, `${place}/teams`, isTeam, 'team', findings);
     teams.forEach((team, index) => {
-      const other = owned.get(team);
+      const other = ownerOfTeam.get(team);
       if (other !== undefined && other !== name)
-        Guard.report(findings, `${place}/teams/${index}`, `is already behind the wall of ${other}`);
-      owned.set(team, name);
+        Guard.report(findings, `${place}/teams/${index}`, `already belongs to owner ${other}`);
+      ownerOfTeam.set(team, name);
     });
   }
   for (const [name, { kind, wall }] of Object.entries(document.groups)) {
     const place = `/groups/${name}/wall`;
     if (!wall && walls && kind === 'model')
-      Guard.report(findings, place, 'is missing: say how its servers keep walls, or that they keep none');
-    if (wall && !walls) Guard.report(findings, place, 'is of no use without /walls');
+      Guard.report(findings, place, 'is missing: set how its servers isolate prompt caches, or none');
+    if (wall && !walls) Guard.report(findings, place, 'has no effect without /walls');
     if (!wall || !walls) continue;
     if (wall.by === 'header' && wall.name === undefined)
-      Guard.report(findings, `${place}/name`, 'is missing for a wall by header');
+      Guard.report(findings, `${place}/name`, 'is missing, but required if by is header');
     if (wall.by === 'none' && wall.name !== undefined)
-      Guard.report(findings, `${place}/name`, 'is of no use for servers that keep no walls');
+      Guard.report(findings, `${place}/name`, 'has no effect if by is none');
     if (wall.by !== 'none' && wall.for !== undefined)
-      Guard.report(findings, `${place}/for`, 'is of no use for servers that keep walls');
-    if (wall.for !== undefined && owned.has(wall.for))
-      Guard.report(findings, `${place}/for`, `is behind the wall of ${owned.get(wall.for)}: name that`);
+      Guard.report(findings, `${place}/for`, 'has no effect unless by is none');
+    if (wall.for !== undefined && ownerOfTeam.has(wall.for))
+      Guard.report(findings, `${place}/for`, `belongs to owner ${ownerOfTeam.get(wall.for)}: name the owner`);
     else if (wall.for !== undefined && !isTeam(wall.for) && !Object.hasOwn(walls.owners ?? {}, wall.for))
       Guard.report(findings, `${place}/for`, `names no team and no owner: ${wall.for}`);
   }
   document.rules.forEach((rule, index) => {
     if (rule.wall !== undefined && !walls)
-      Guard.report(findings, `/rules/${index}/wall`, 'is of no use without /walls');
+      Guard.report(findings, `/rules/${index}/wall`, 'has no effect without /walls');
   });
 };
 
+/** Validates documents from outside the process. */
 export const Check = {
+  /** Validates a manifest. */
   manifest(value: unknown): Check {
     const findings: Guard.Finding[] = [];
     if (!Document.manifest(value, '', findings)) return { kind: 'bad', findings };
     const document = value;
-    const isRegion: Known = (name) => Object.values(document.zones).some((zone) => zone.region === name);
+    const isRegion: IsDefined = (name) => Object.values(document.zones).some((zone) => zone.region === name);
     checkGroups(document, isRegion, findings);
     for (const [name, home] of Object.entries(document.homes))
       checkNames(home.regions, `/homes/${name}/regions`, isRegion, 'region of any zone', findings);
@@ -159,6 +166,7 @@
     );
     return findings.length > 0 ? { kind: 'bad', findings } : { kind: 'good', document };
   },
+  /** Returns the server list, or the findings if it is invalid. */
   servers(value: unknown): Document.Servers | readonly Guard.Finding[] {
     const findings: Guard.Finding[] = [];
     if (!Document.servers(value, '', findings)) return findings;
--- a/src/manifest/compiled.ts
+++ b/src/manifest/compiled.ts
@@ -1,6 +1,7 @@
-// A compiled manifest answers what the request path asks: which team a key names, which rule matches,
-// which steps a rule's chain has for a home, and which servers may run a step just now. Defaults are
-// filled in here and nowhere else.
+/**
+ * A manifest compiled for the request path: lookup of the team of an API key, of rules with their fallback steps, and of
+ * the servers of each group. All defaults of the manifest are applied here and nowhere else.
+ */
 import { createHash } from 'node:crypto';
 import { type Address, Address as Addresses } from '../common/address.js';
 import type { Id } from '../common/id.js';
@@ -9,6 +10,7 @@
 import type { View } from './view.js';
 import { Wall } from './wall.js';
 
+/** A manifest together with the server list, ready for lookups. */
 export type Compiled = {
   readonly stamp: Stamp;
   readonly rules: readonly Compiled.Rule[];
@@ -20,10 +22,13 @@
   readonly regions: readonly Id.Region[];
   readonly limits: Document.Limits;
   readonly walls: Wall.Walls | undefined;
+  /** The team of requests without an API key. */
   readonly anonymousTeam: Compiled.Team | undefined;
+  /** Finds the team of an API key. */
   readonly findTeamByKey: (key: string) => Compiled.Team | undefined;
 };
 
+/** Parts of a compiled manifest; durations are in milliseconds. */
 export declare namespace Compiled {
   type Team = {
     readonly name: Id.Team;
@@ -31,6 +36,7 @@
     readonly homes: readonly Id.Home[] | undefined;
     readonly quota: Document.Quota | undefined;
   };
+  /** Outlier ejection: consecutive errors, base ejection time, and the maximum share of the group in percent. */
   type Ejection = { readonly consecutive: number; readonly base: number; readonly percent: number };
   type Group = {
     readonly name: Id.Group;
@@ -39,13 +45,18 @@
     readonly regions: readonly Id.Region[];
     readonly identity: Document.Identity;
     readonly proof: Document.Proof | undefined;
-    /** The header in which its servers send back the id of the request that they answer. */
+    /** The response header in which its servers echo the request id. */
     readonly echo: string | undefined;
     readonly warmup: Document.Warmup | undefined;
+    /** Maximum number of connections to one server. */
     readonly connections: number | undefined;
+    /** Size of the prompt cache of one server, in tokens. */
     readonly memory: number | undefined;
+    /** How its servers isolate tenants; undefined if the manifest configures no isolation. */
     readonly wall: Wall.Mechanism | undefined;
+    /** Whether a response states that the server did not run the request. */
     readonly isNotRun: (status: number, headers: Readonly<Record<string, unknown>>) => boolean;
+    /** Maximum number of concurrent requests to one server. */
     readonly concurrent: number;
     readonly ejection: Ejection;
     readonly servers: readonly Server[];
@@ -56,10 +67,13 @@
     readonly address: Address;
     readonly region: Id.Region;
     readonly zone: Id.Zone;
+    /** Whether it takes new requests: it is not leaving, and its zone is not evacuated. */
     readonly isOpen: boolean;
     readonly slots: number | undefined;
+    /** How long the server will still be warming up. */
     readonly warming: number;
   };
+  /** A tier of groups to try, and the model to request there if it differs. */
   type Step = { readonly groups: readonly Id.Group[]; readonly model: string | undefined };
   type Retry = {
     readonly on: ReadonlySet<string>;
@@ -71,20 +85,27 @@
   type Rule = {
     readonly name: string;
     readonly match: Document.Rule['match'];
-    /** What a path must begin with, where any path that does is taken. */
+    /** The prefix of a path pattern that ends in `/*`. */
     readonly pathPrefix: string | undefined;
     readonly steps: readonly Step[];
+    /** Whether a request must not be repeated once it may have run. */
     readonly isOnce: boolean;
+    /** Whether an interrupted stream may be resumed after its last event. */
     readonly isResumable: boolean;
     readonly weights: Readonly<Record<string, number>> | undefined;
+    /** Target time to the first byte. */
     readonly aim: number | undefined;
+    /** Target time between two events of a stream. */
     readonly gap: number | undefined;
     readonly priority: number | undefined;
     readonly homeRegions: readonly Id.Region[] | undefined;
     readonly homeHeader: string | undefined;
+    /** Regions that requests may spill over to from the first one, in this order. */
     readonly spill: readonly Id.Region[];
+    /** How often a request may be forwarded between proxies. */
     readonly hops: number;
     readonly timeouts: Document.Timeouts;
+    /** The highest timeouts that a request may ask for. */
     readonly bounds: Document.Timeouts;
     readonly retry: Retry;
     readonly hasAffinity: boolean;
@@ -94,7 +115,8 @@
   };
 }
 
-const timeouts: Document.Timeouts = {
+/** Default timeouts, in milliseconds. */
+const defaultTimeouts: Document.Timeouts = {
   connect: 1000,
   first_byte: 20_000,
   per_try: 30_000,
@@ -102,11 +124,13 @@
   idle: 15_000,
 };
 
-const longestBody = 4 * 1024 * 1024;
-const longestOfAll = 64 * 1024 * 1024;
+/** The body limit of a rule if neither the rule nor the manifest sets one. */
+const defaultMaxBodyBytes = 4 * 1024 * 1024;
+/** The highest body limit of a rule if the manifest sets none for all. */
+const highestMaxBodyBytes = 64 * 1024 * 1024;
 
-const compileRuleAnew = (rule: Document.Rule, limits: Document.Limits): Compiled.Rule => {
-  const own = { ...timeouts, ...rule.timeouts };
+const buildRule = (rule: Document.Rule, limits: Document.Limits): Compiled.Rule => {
+  const effectiveTimeouts = { ...defaultTimeouts, ...rule.timeouts };
   return {
     name: rule.name,
     match: rule.match,
@@ -125,8 +149,8 @@
     homeHeader: rule.home?.header,
     spill: rule.spill ?? [],
     hops: rule.hops ?? 3,
-    timeouts: own,
-    bounds: { ...own, ...rule.bounds },
+    timeouts: effectiveTimeouts,
+    bounds: { ...effectiveTimeouts, ...rule.bounds },
     retry: {
       on: new Set(
         rule.retry?.retry_on ?? [
@@ -144,27 +168,31 @@
     },
     hasAffinity: rule.affinity ?? true,
     usesSharedWall: rule.wall === 'shared',
-    maxBodyBytes: Math.min(rule.body ?? limits.body_bytes ?? longestBody, limits.body_bytes ?? longestOfAll),
+    maxBodyBytes: Math.min(
+      rule.body ?? limits.body_bytes ?? defaultMaxBodyBytes,
+      limits.body_bytes ?? highestMaxBodyBytes,
+    ),
     teams: rule.teams,
   };
 };
 
 const noLimits: Document.Limits = {};
-const rulesMade = new WeakMap<Document.Rule, { limits: Document.Limits; made: Compiled.Rule }>();
-const addresses = new WeakMap<Document.Server, Address | undefined>();
+const ruleCache = new WeakMap<Document.Rule, { limits: Document.Limits; compiled: Compiled.Rule }>();
+const addressCache = new WeakMap<Document.Server, Address | undefined>();
 
-/** Rules and servers that a change leaves alone are the same objects as before it, and are not made again. */
+/** Compiles a rule, or returns the cached result: rules that a change does not touch remain the same objects. */
 const compileRule = (rule: Document.Rule, limits: Document.Limits): Compiled.Rule => {
-  const known = rulesMade.get(rule);
-  if (known?.limits === limits) return known.made;
-  const made = compileRuleAnew(rule, limits);
-  rulesMade.set(rule, { limits, made });
-  return made;
+  const cached = ruleCache.get(rule);
+  if (cached?.limits === limits) return cached.compiled;
+  const compiled = buildRule(rule, limits);
+  ruleCache.set(rule, { limits, compiled });
+  return compiled;
 };
 
+/** The parsed address of a server, cached like rules. */
 const addressOf = (server: Document.Server): Address | undefined => {
-  if (!addresses.has(server)) addresses.set(server, Addresses.parse(server.address));
-  return addresses.get(server);
+  if (!addressCache.has(server)) addressCache.set(server, Addresses.parse(server.address));
+  return addressCache.get(server);
 };
 
 const compileGroup = (
@@ -186,10 +214,12 @@
   wall: walls && Wall.mechanismOf(walls, group),
   isNotRun: (status, headers) =>
     (group.not_run ?? []).some(
-      (one) =>
-        one.status === status &&
-        (one.header === undefined ||
-          (one.is === undefined ? headers[one.header] !== undefined : headers[one.header] === one.is)),
+      (condition) =>
+        condition.status === status &&
+        (condition.header === undefined ||
+          (condition.is === undefined
+            ? headers[condition.header] !== undefined
+            : headers[condition.header] === condition.is)),
     ),
   concurrent: group.concurrent ?? 64,
   ejection: {
@@ -200,7 +230,9 @@
   servers,
 });
 
+/** Compiles manifests. */
 export const Compiled = {
+  /** Compiles a view; undefined if it has no manifest. Servers that contradict the manifest are left out. */
   of(view: View): Compiled | undefined {
     const document = view.manifest?.document;
     if (!document) return undefined;
@@ -224,16 +256,16 @@
         compileGroup(
           name,
           group,
-          [...servers.values()].filter((one) => one.group === name),
+          [...servers.values()].filter((server) => server.group === name),
           document.walls,
         ),
       );
-    const teams = new Map<string, Compiled.Team>();
-    let openTeam: Compiled.Team | undefined;
+    const teamsByKey = new Map<string, Compiled.Team>();
+    let anonymousTeam: Compiled.Team | undefined;
     for (const [name, { keys, home, homes, quota, open }] of Object.entries(document.teams)) {
       const team = { name: name as Id.Team, home, homes, quota };
-      for (const key of keys) teams.set(key, team);
-      if (open) openTeam = team;
+      for (const key of keys) teamsByKey.set(key, team);
+      if (open) anonymousTeam = team;
     }
     const { zones } = document;
     return {
@@ -247,8 +279,8 @@
       regions: [...new Set(Object.values(zones).map((zone) => zone.region))],
       limits: document.limits ?? {},
       walls: Wall.of(document),
-      anonymousTeam: openTeam,
-      findTeamByKey: (key) => teams.get(createHash('sha256').update(key).digest('hex')),
+      anonymousTeam,
+      findTeamByKey: (key) => teamsByKey.get(createHash('sha256').update(key).digest('hex')),
     };
   },
 };
--- a/src/manifest/document.ts
+++ b/src/manifest/document.ts
@@ -1,24 +1,33 @@
-// The manifest as operators write it, and the platform's server list, each described once as a guard
-// from which the type follows. The names of timeouts, retry conditions and ejection settings are the
-// paper's; spans are milliseconds.
+/**
+ * The schemas of the manifest that operators write and of the server list, each defined once as a guard from which its
+ * type is inferred. Timeouts, retry conditions and ejection settings have the names that Envoy uses; durations are in
+ * milliseconds.
+ */
 import { Guard } from '../common/guard.js';
 import type { Id } from '../common/id.js';
 
-const word = { like: /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/, as: 'a name of letters, digits, . _ -' };
+const namePattern = { like: /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/, as: 'a name of letters, digits, . _ -' };
 const header = Guard.string({ like: /^[a-z0-9-]{1,64}$/, as: 'a header name in lower case' });
-const span = Guard.integer({ min: 1, max: 3_600_000 });
+const durationMs = Guard.integer({ min: 1, max: 3_600_000 });
 const status = Guard.integer({ min: 400, max: 599 });
 const path = Guard.string({ like: /^\/[^\s?#]*$/, as: 'a path that begins with /' });
 
-const group = Guard.string<Id.Group>(word);
-const region = Guard.string<Id.Region>(word);
-const zone = Guard.string<Id.Zone>(word);
-const home = Guard.string<Id.Home>(word);
-const team = Guard.string<Id.Team>(word);
-const instance = Guard.string<Id.Instance>(word);
-
-const timeouts = { connect: span, first_byte: span, per_try: span, total: span, idle: span };
-const place = Guard.strictObject(
+const group = Guard.string<Id.Group>(namePattern);
+const region = Guard.string<Id.Region>(namePattern);
+const zone = Guard.string<Id.Zone>(namePattern);
+const home = Guard.string<Id.Home>(namePattern);
+const team = Guard.string<Id.Team>(namePattern);
+const instance = Guard.string<Id.Instance>(namePattern);
+
+const timeouts = {
+  connect: durationMs,
+  first_byte: durationMs,
+  per_try: durationMs,
+  total: durationMs,
+  idle: durationMs,
+};
+/** Where a value is found in a response: a header, or a JSON pointer into the body. */
+const location = Guard.strictObject(
   {},
   { header, pointer: Guard.string({ like: /^(\/[^/]*)+$/, as: 'a JSON pointer' }) },
 );
@@ -26,8 +35,8 @@
 const identity = Guard.strictObject(
   { path },
   {
-    service: Guard.strictObject({ at: place, is: Guard.string({ max: 256 }) }),
-    instance: place,
+    service: Guard.strictObject({ at: location, is: Guard.string({ max: 256 }) }),
+    instance: location,
   },
 );
 
@@ -35,23 +44,25 @@
   {},
   {
     consecutive_5xx: Guard.integer({ min: 1, max: 1000 }),
-    base_ejection_time: span,
+    base_ejection_time: durationMs,
     max_ejection_percent: Guard.integer({ min: 0, max: 100 }),
   },
 );
 
+/** The header by which a request names the instance it is meant for, and the status of a refusal by another one. */
 const proof = Guard.strictObject({ header }, { misdirected: status });
-const warmup = Guard.strictObject({ per_second: Guard.number({ min: 0, max: 1_000_000 }), span });
+const warmup = Guard.strictObject({ per_second: Guard.number({ min: 0, max: 1_000_000 }), span: durationMs });
 
+/** How the servers of a group isolate the prompt caches of tenants: by which means, its name, and for which tenant. */
 const wall = Guard.strictObject(
   { by: Guard.oneOf('field', 'header', 'none') },
   {
     name: Guard.string({ like: /^[a-z0-9_-]{1,64}$/, as: 'a field or header name in lower case' }),
-    for: Guard.string(word),
+    for: Guard.string(namePattern),
   },
 );
 
-const catalogueEntry = Guard.strictObject(
+const groupEntry = Guard.strictObject(
   { kind: Guard.oneOf('model', 'plain'), regions: Guard.list(region, { min: 1 }) },
   {
     proof,
@@ -85,14 +96,14 @@
     retry_on: Guard.list(Guard.oneOf(...conditions)),
     codes: Guard.list(status),
     count: Guard.integer({ min: 0, max: 10 }),
-    base: span,
-    max: span,
+    base: durationMs,
+    max: durationMs,
   },
 );
 
 const rule = Guard.strictObject(
   {
-    name: Guard.string(word),
+    name: Guard.string(namePattern),
     match: Guard.strictObject(
       { path },
       {
@@ -108,8 +119,8 @@
   {
     home: Guard.strictObject({}, { header, regions: Guard.list(region, { min: 1 }) }),
     weights: Guard.map(Guard.number({ min: 0, max: 1_000_000_000 }), group),
-    aim: span,
-    gap: span,
+    aim: durationMs,
+    gap: durationMs,
     priority: Guard.integer({ min: 0, max: 9 }),
     spill: Guard.list(region),
     fallback: Guard.list(
@@ -140,21 +151,23 @@
   {
     header_bytes: Guard.integer({ min: 1, max: 16 * 1024 * 1024 }),
     body_bytes: Guard.integer({ min: 1, max: 64 * 1024 * 1024 }),
-    header_time: span,
-    idle: span,
+    header_time: durationMs,
+    idle: durationMs,
   },
 );
 
+/** Cache isolation of tenants. */
 const walls = Guard.strictObject(
   { generation: Guard.integer({ min: 1 }) },
   {
     secret: Guard.string({ like: /^([0-9a-f]{64}|new)$/, as: '32 bytes in hexadecimal, or new' }),
-    owners: Guard.map(Guard.strictObject({ teams: Guard.list(team, { min: 1 }) }), Guard.string(word)),
+    owners: Guard.map(Guard.strictObject({ teams: Guard.list(team, { min: 1 }) }), Guard.string(namePattern)),
   },
 );
 
+/** The document from which a manifest was translated, compressed, so that it can be read back as it was sent. */
 const source = Guard.strictObject({
-  format: Guard.string(word),
+  format: Guard.string(namePattern),
   number: Guard.integer({ min: 0 }),
   digest: Guard.string({ max: 128 }),
   packed: Guard.string({ max: 32 * 1024 * 1024 }),
@@ -163,7 +176,7 @@
 const manifest = Guard.strictObject(
   {
     zones: Guard.map(Guard.strictObject({ region }), zone),
-    groups: Guard.map(catalogueEntry, group),
+    groups: Guard.map(groupEntry, group),
     homes: Guard.map(Guard.strictObject({ regions: Guard.list(region, { min: 1 }) }), home),
     teams: Guard.map(
       Guard.strictObject(
@@ -192,10 +205,12 @@
 );
 const servers = Guard.strictObject({ serial: Guard.integer({ min: 1 }), servers: Guard.list(server) });
 
+/** A manifest. */
 export type Document = Guard.Of<typeof manifest>;
 
+/** Parts of a manifest, and the server list. */
 export declare namespace Document {
-  type Group = Guard.Of<typeof catalogueEntry>;
+  type Group = Guard.Of<typeof groupEntry>;
   type Rule = Guard.Of<typeof rule>;
   type Quota = Guard.Of<typeof quota>;
   type Walls = Guard.Of<typeof walls>;
@@ -207,7 +222,8 @@
   type Server = Guard.Of<typeof server>;
   type Servers = Guard.Of<typeof servers>;
   type Timeouts = Guard.Required<typeof timeouts>;
-  type Place = Guard.Of<typeof place>;
+  type Place = Guard.Of<typeof location>;
 }
 
+/** The guards of documents. */
 export const Document = { manifest, servers, leaving: Guard.strictObject({ instance }), conditions };
--- a/src/manifest/wall-change.ts
+++ b/src/manifest/wall-change.ts
@@ -1,78 +1,88 @@
-// What a change of the manifest may do to the walls. A secret that is not told is the one in force, or is made;
-// "new" makes one. Generations only rise, and rise with each new secret. A group whose servers keep no walls may
-// be given to one tenant only as long as no kept manifest had it otherwise: its servers may hold others' work.
+/**
+ * Rules for changing the cache isolation (`walls`) of a manifest. A manifest without a secret keeps the current one, or gets
+ * a new one if there is none; the secret "new" always generates one. The generation never falls, and rises with each new
+ * secret. A group whose servers cannot isolate tenants may be assigned to a tenant only if no earlier manifest that is
+ * kept used the group otherwise, because its servers may still cache prompts of others.
+ */
 import { Guard } from '../common/guard.js';
 import type { Document } from './document.js';
 import { Wall } from './wall.js';
 
+/** The manifest to store, with a description of the change for the audit log, or the reasons for refusing it. */
 export type WallChange =
   | { readonly kind: 'good'; readonly document: Document; readonly what: string }
   | { readonly kind: 'bad'; readonly findings: readonly Guard.Finding[] };
 
+/** Input of the check. */
 export declare namespace WallChange {
-  /** The documents that are kept, the newest last. */
+  /** The manifests that are kept, the newest last. */
   type History = {
     readonly at: (index: number) => Document | undefined;
     readonly some: (is: (document: Document) => boolean) => boolean;
   };
 }
 
-const tell = (before: Document | undefined, after: Document): string => {
+/** Describes the isolation for the audit log, without the secret; empty if nothing has changed. */
+const describeChange = (before: Document | undefined, after: Document): string => {
   const describe = (document: Document | undefined) => {
     if (!document?.walls) return 'no walls';
     const { generation, owners = {} } = document.walls;
-    const named = Object.entries(owners).map(([name, { teams }]) => `, ${name} of ${teams.join(' ')}`);
-    const shared = document.rules.flatMap((rule) => (rule.wall === 'shared' ? [rule.name] : []));
-    const ways = Object.entries(document.groups).flatMap(([name, { wall }]) =>
+    const ownerTexts = Object.entries(owners).map(([name, { teams }]) => `, ${name} of ${teams.join(' ')}`);
+    const sharedRules = document.rules.flatMap((rule) => (rule.wall === 'shared' ? [rule.name] : []));
+    const groupTexts = Object.entries(document.groups).flatMap(([name, { wall }]) =>
       wall ? [`, ${name} by ${wall.by}${wall.for === undefined ? '' : ` for ${wall.for}`}`] : [],
     );
-    return `walls of generation ${generation}${named.join('')}${ways.join('')}${shared.length > 0 ? `, shared in ${shared.join(' ')}` : ''}`;
+    return `walls of generation ${generation}${ownerTexts.join('')}${groupTexts.join('')}${sharedRules.length > 0 ? `, shared in ${sharedRules.join(' ')}` : ''}`;
   };
   const isNewSecret = before?.walls && after.walls && before.walls.secret !== after.walls.secret;
-  const [then, now] = [describe(before), describe(after)];
-  return then === now && !isNewSecret ? '' : `${now}${isNewSecret ? ', with a new secret' : ''}`;
+  const [beforeText, afterText] = [describe(before), describe(after)];
+  return beforeText === afterText && !isNewSecret
+    ? ''
+    : `${afterText}${isNewSecret ? ', with a new secret' : ''}`;
 };
 
 const resolveSecret = (
   before: Document.Walls | undefined,
   after: Document.Walls,
-  make: () => string,
+  generateSecret: () => string,
 ): string => {
-  if (after.secret === 'new') return make();
-  return after.secret ?? before?.secret ?? make();
+  if (after.secret === 'new') return generateSecret();
+  return after.secret ?? before?.secret ?? generateSecret();
 };
 
+/** Checks changes of the isolation. */
 export const WallChange = {
-  of(kept: WallChange.History, after: Document, make: () => string): WallChange {
-    const before = kept.at(-1);
+  /** Checks the new manifest against the kept ones and fills in its secret. */
+  of(history: WallChange.History, after: Document, generateSecret: () => string): WallChange {
+    const before = history.at(-1);
     const { walls } = after;
-    if (!walls) return { kind: 'good', document: after, what: tell(before, after) };
+    if (!walls) return { kind: 'good', document: after, what: describeChange(before, after) };
     const findings: Guard.Finding[] = [];
-    const secret = resolveSecret(before?.walls, walls, make);
+    const secret = resolveSecret(before?.walls, walls, generateSecret);
     const resolved = { ...walls, secret };
-    const last = before?.walls;
-    if (last && walls.generation < last.generation)
-      Guard.report(findings, '/walls/generation', `must not fall below ${last.generation}`);
-    if (last && last.secret !== secret && walls.generation <= last.generation)
-      Guard.report(findings, '/walls/generation', `must rise above ${last.generation} with a new secret`);
+    const current = before?.walls;
+    if (current && walls.generation < current.generation)
+      Guard.report(findings, '/walls/generation', `must not fall below ${current.generation}`);
+    if (current && current.secret !== secret && walls.generation <= current.generation)
+      Guard.report(findings, '/walls/generation', `must rise above ${current.generation} with a new secret`);
     for (const [name, group] of Object.entries(after.groups)) {
-      const way = Wall.mechanismOf(resolved, group);
-      if (way.kind !== 'alone') continue;
-      const isOther = (document: Document) => {
-        const known = document.groups[name];
-        if (!known) return false;
-        const earlier = document.walls && Wall.mechanismOf(document.walls, known);
-        return earlier?.kind !== 'alone' || earlier.wall !== way.wall;
+      const mechanism = Wall.mechanismOf(resolved, group);
+      if (mechanism.kind !== 'alone') continue;
+      const wasUsedOtherwise = (document: Document) => {
+        const earlierGroup = document.groups[name];
+        if (!earlierGroup) return false;
+        const earlier = document.walls && Wall.mechanismOf(document.walls, earlierGroup);
+        return earlier?.kind !== 'alone' || earlier.wall !== mechanism.wall;
       };
-      if (kept.some(isOther))
+      if (history.some(wasUsedOtherwise))
         Guard.report(
           findings,
           `/groups/${name}/wall`,
-          'servers of this group may hold work of others; name a new group',
+          'servers of this group may hold work of others; use a new group name',
         );
     }
     if (findings.length > 0) return { kind: 'bad', findings };
     const document = { ...after, walls: resolved };
-    return { kind: 'good', document, what: tell(before, document) };
+    return { kind: 'good', document, what: describeChange(before, document) };
   },
 };
--- a/test/walls-check.test.ts
+++ b/test/walls-check.test.ts
@@ -1,5 +1,7 @@
-// The operators' live check of walls, as a program against running fleets: one with walls, one without, one whose
-// servers say that they take a salt and don't, and one that can't tell.
+/**
+ * `bramblebend walls`, the live check of cache isolation, run against fleets: with isolation, without it, with servers
+ * that ignore the salt because the manifest names another field, and with a tenant whose requests fail.
+ */
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { describe, it } from 'node:test';
@@ -49,20 +51,20 @@
   mix: [],
 };
 
-const check = async (chosen: Deployment, keys: string): Promise<{ code: number | null; text: string }> => {
+const runCheck = async (chosen: Deployment, keys: string): Promise<{ code: number | null; text: string }> => {
   const folder = FleetFolder.make();
   const kit = await FleetKit.start({ folder, deployment: chosen, stand: { pace: 1 } });
   try {
     await InForce.putWhenReady(kit, chosen.manifest);
     await kit.putServers(1);
     await InForce.everywhere(kit);
-    const began = performance.now();
-    const listed = async () => {
+    const startedAt = performance.now();
+    const countReadyProxies = async () => {
       const { body } = await kit.operate('GET', '/v1/nodes');
       const nodes = (body.nodes ?? []) as { program: string; ready: boolean }[];
       return nodes.filter(({ program: kind, ready }) => kind === 'proxy' && ready).length;
     };
-    while ((await listed()) < kit.fronts.length && performance.now() - began < 10_000)
+    while ((await countReadyProxies()) < kit.fronts.length && performance.now() - startedAt < 10_000)
       await new Promise((resolve) => setTimeout(resolve, 20));
     const control = [
       '--control',
@@ -91,26 +93,26 @@
     .slice(1)
     .map((line) => line.split(/\s+/).at(-1));
 
-describe('the live check of walls', () => {
-  it('tells each pair of proxies apart, where walls are kept', async () => {
-    const { code, text } = await check(deployment, 'key-of-one,key-of-two');
+describe('live check of cache isolation', () => {
+  it('reports each pair of proxies as apart if the servers isolate tenants', async () => {
+    const { code, text } = await runCheck(deployment, 'key-of-one,key-of-two');
     assert.deepEqual(verdicts(text), ['apart', 'apart', 'apart', 'apart'], text);
     assert.equal(code, 0);
   });
-  it('sees matches without walls, and exits with 1', async () => {
-    const { code, text } = await check(Deployment.withoutWalls(deployment), 'key-of-one,key-of-two');
+  it('reports matches without isolation, and exits with 1', async () => {
+    const { code, text } = await runCheck(Deployment.withoutWalls(deployment), 'key-of-one,key-of-two');
     assert.deepEqual(verdicts(text), ['MATCH', 'MATCH', 'MATCH', 'MATCH'], text);
     assert.equal(code, 1);
   });
-  it('sees servers that take another field than the catalogue says', async () => {
+  it('reports matches if servers read the salt from another field than the manifest says', async () => {
     const llm = { ...manifest.groups.llm!, wall: { by: 'field', name: 'another_salt' } };
     const wrong = { ...deployment, manifest: { ...manifest, groups: { llm } } as unknown as Document };
-    const { code, text } = await check(wrong, 'key-of-one,key-of-two');
+    const { code, text } = await runCheck(wrong, 'key-of-one,key-of-two');
     assert.deepEqual(verdicts(text), ['MATCH', 'MATCH', 'MATCH', 'MATCH'], text);
     assert.equal(code, 1);
   });
-  it('says that it is unsure when a tenant is not served', async () => {
-    const { code, text } = await check(deployment, 'key-of-one,key-of-nobody');
+  it('reports unsure if requests of a tenant fail', async () => {
+    const { code, text } = await runCheck(deployment, 'key-of-one,key-of-nobody');
     assert.deepEqual(verdicts(text), ['unsure', 'unsure', 'unsure', 'unsure'], text);
     assert.equal(code, 3);
   });
--- a/test/walls-manifest.test.ts
+++ b/test/walls-manifest.test.ts
@@ -1,5 +1,7 @@
-// Walls in the manifest: each finding at its place, what a change may do to them, and that what a proxy remembers of a
-// server is parted by wall.
+/**
+ * Cache isolation (`walls`) in the manifest: findings with their places, rules for changes, derivation of salts, and the
+ * separation by tenant of what a proxy records about the cache of a server.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Check } from '../src/manifest/check.js';
@@ -18,26 +20,26 @@
   groups: { llm: { ...llm, wall: field }, small: { ...small, wall: field }, plain },
   walls: { generation: 3, secret: 'ab'.repeat(32) },
 } as unknown as Document;
-const findings = (more: object) => {
+const findingsOf = (more: object) => {
   const checked = Check.manifest({ ...good, ...more });
   return checked.kind === 'good' ? [] : checked.findings.map(({ place, text }) => `${place} ${text}`);
 };
-const withSmall = (wall: object | undefined, more: object = {}) => ({
+const withSmallGroup = (wall: object | undefined, more: object = {}) => ({
   groups: { ...good.groups, small: { ...small, ...(wall ? { wall } : {}) } },
   ...more,
 });
 
-describe('walls in the manifest', () => {
-  it('are checked, each finding at its place', () => {
-    assert.deepEqual(findings({}), []);
+describe('cache isolation in the manifest', () => {
+  it('is validated, each finding at its place', () => {
+    assert.deepEqual(findingsOf({}), []);
     const cases: readonly (readonly [object, RegExp])[] = [
-      [withSmall(undefined), /^\/groups\/small\/wall is missing/],
-      [{ walls: undefined }, /^\/groups\/llm\/wall is of no use/],
-      [withSmall({ by: 'header' }), /^\/groups\/small\/wall\/name is missing/],
-      [withSmall({ by: 'none', name: 'x' }), /^\/groups\/small\/wall\/name is of no use/],
-      [withSmall({ ...field, for: 'testers' }), /^\/groups\/small\/wall\/for is of no use/],
-      [withSmall({ by: 'none', for: 'nobody' }), /^\/groups\/small\/wall\/for names no team/],
-      [withSmall({ by: 'guess' }), /^\/groups\/small\/wall\/by must be one of/],
+      [withSmallGroup(undefined), /^\/groups\/small\/wall is missing/],
+      [{ walls: undefined }, /^\/groups\/llm\/wall has no effect/],
+      [withSmallGroup({ by: 'header' }), /^\/groups\/small\/wall\/name is missing/],
+      [withSmallGroup({ by: 'none', name: 'x' }), /^\/groups\/small\/wall\/name has no effect/],
+      [withSmallGroup({ ...field, for: 'testers' }), /^\/groups\/small\/wall\/for has no effect/],
+      [withSmallGroup({ by: 'none', for: 'nobody' }), /^\/groups\/small\/wall\/for names no team/],
+      [withSmallGroup({ by: 'guess' }), /^\/groups\/small\/wall\/by must be one of/],
       [{ walls: { generation: 0 } }, /^\/walls\/generation must be at least 1/],
       [{ walls: { generation: 1, secret: 'short' } }, /^\/walls\/secret must be 32 bytes/],
       [
@@ -47,55 +49,55 @@
       [{ walls: { generation: 1, owners: { others: { teams: ['testers'] } } } }, /is the name of a team/],
       [
         { walls: { generation: 1, owners: { o: { teams: ['testers'] }, p: { teams: ['testers'] } } } },
-        /^\/walls\/owners\/p\/teams\/0 is already behind the wall of o/,
+        /^\/walls\/owners\/p\/teams\/0 already belongs to owner o/,
       ],
       [
-        withSmall(
+        withSmallGroup(
           { by: 'none', for: 'testers' },
           { walls: { generation: 1, owners: { o: { teams: ['testers'] } } } },
         ),
-        /^\/groups\/small\/wall\/for is behind the wall of o/,
+        /^\/groups\/small\/wall\/for belongs to owner o/,
       ],
     ];
-    for (const [more, wanted] of cases) assert.match(findings(more)[0] ?? 'no finding', wanted);
+    for (const [more, expected] of cases) assert.match(findingsOf(more)[0] ?? 'no finding', expected);
     const shared = [{ ...good.rules[0], wall: 'shared' }];
     assert.match(
-      findings({ ...Bench.manifest, walls: undefined, rules: shared }).join(),
-      /\/rules\/0\/wall is of no use without \/walls/,
+      findingsOf({ ...Bench.manifest, walls: undefined, rules: shared }).join(),
+      /\/rules\/0\/wall has no effect without \/walls/,
     );
   });
 
-  const make = () => 'cd'.repeat(32);
-  const change = (before: Document[], after: Document) => WallChange.of(before, after, make);
+  const generateSecret = () => 'cd'.repeat(32);
+  const change = (before: Document[], after: Document) => WallChange.of(before, after, generateSecret);
   const walled = (walls: object | undefined, more: object = {}) =>
     ({ ...good, ...more, walls }) as unknown as Document;
 
-  it('keep their secret, make one, and make a new one when told', () => {
+  it('keeps its secret, generates a missing one, and generates a new one on request', () => {
     const kept = change([good], walled({ generation: 3 }));
     assert.equal(kept.kind === 'good' && kept.document.walls?.secret, good.walls?.secret);
     const made = change([], walled({ generation: 1 }));
-    assert.equal(made.kind === 'good' && made.document.walls?.secret, make());
+    assert.equal(made.kind === 'good' && made.document.walls?.secret, generateSecret());
     const renewed = change([good], walled({ generation: 4, secret: 'new' }));
-    assert.equal(renewed.kind === 'good' && renewed.document.walls?.secret, make());
+    assert.equal(renewed.kind === 'good' && renewed.document.walls?.secret, generateSecret());
     assert.equal(change([good], walled({ generation: 3, secret: 'new' })).kind, 'bad');
     assert.equal(change([good], walled({ generation: 2 })).kind, 'bad');
   });
-  it('are told in the audit, without the secret', () => {
-    const told = change(
+  it('is described for the audit log without the secret', () => {
+    const changed = change(
       [good],
       walled({ generation: 4, secret: 'new', owners: { o: { teams: ['testers'] } } }),
     );
-    assert.ok(told.kind === 'good');
-    assert.match(told.what, /^walls of generation 4, o of testers, .*, with a new secret$/);
-    assert.equal(told.what.includes(make()), false);
+    assert.ok(changed.kind === 'good');
+    assert.match(changed.what, /^walls of generation 4, o of testers, .*, with a new secret$/);
+    assert.equal(changed.what.includes(generateSecret()), false);
     const gone = change([good], walled(undefined));
     assert.equal(gone.kind === 'good' && gone.what, 'no walls');
     const same = change([good], good);
     assert.equal(same.kind === 'good' && same.what, '');
   });
-  it('give servers without walls to one tenant only as a group that nobody else had', () => {
+  it('assigns servers without isolation to a tenant only if no one else has used the group', () => {
     const alone = (team: string) =>
-      ({ ...good, ...withSmall({ by: 'none', for: team }) }) as unknown as Document;
+      ({ ...good, ...withSmallGroup({ by: 'none', for: team }) }) as unknown as Document;
     assert.equal(change([good], alone('testers')).kind, 'bad');
     const { small: _small, ...without } = good.groups;
     const before = { ...good, groups: without } as unknown as Document;
@@ -103,9 +105,9 @@
     assert.equal(change([before, alone('testers')], alone('testers')).kind, 'good');
     assert.equal(change([alone('others'), before], alone('testers')).kind, 'bad');
   });
-  it('differ by tenant, generation, secret and the teams of an owner', () => {
+  it('derives salts that differ by tenant, generation, secret and teams of an owner', () => {
     const saltOf = (walls: object, team = 'testers') =>
-      Wall.of(walled({ secret: make(), generation: 1, ...walls }))!.of(team as never)!.salt;
+      Wall.of(walled({ secret: generateSecret(), generation: 1, ...walls }))!.of(team as never)!.salt;
     const salts = [
       saltOf({}),
       saltOf({}, 'others'),
@@ -113,7 +115,7 @@
       saltOf({ secret: 'ef'.repeat(32) }),
       saltOf({ owners: { o: { teams: ['testers'] } } }),
       saltOf({ owners: { o: { teams: ['testers', 'others'] } } }),
-      Wall.of(walled({ secret: make(), generation: 1 }))!.shared()!.salt,
+      Wall.of(walled({ secret: generateSecret(), generation: 1 }))!.shared()!.salt,
     ];
     assert.equal(new Set(salts).size, salts.length);
     assert.equal(saltOf({}), salts[0]);
@@ -122,14 +124,14 @@
     assert.equal(saltOf(both), salts[5]);
     assert.equal(Wall.of(walled({ generation: 1 }))!.of('testers' as never), undefined);
   });
-  it('refuse what can’t be told', () => {
+  it('refuses requests or servers whose isolation is unknown', () => {
     const wall = Wall.of(good)!.of('testers' as never)!;
-    const by = { kind: 'field', name: 'cache_salt' } as const;
+    const mechanism = { kind: 'field', name: 'cache_salt' } as const;
     assert.equal(Wall.isAllowed(undefined, undefined, true), true);
-    assert.equal(Wall.isAllowed(undefined, by, false), false);
+    assert.equal(Wall.isAllowed(undefined, mechanism, false), false);
     assert.equal(Wall.isAllowed(wall, undefined, false), false);
-    assert.equal(Wall.isAllowed(wall, by, false), true);
-    assert.equal(Wall.isAllowed(wall, by, true), false);
+    assert.equal(Wall.isAllowed(wall, mechanism, false), true);
+    assert.equal(Wall.isAllowed(wall, mechanism, true), false);
     assert.equal(Wall.isAllowed(wall, { kind: 'header', name: 'x' }, true), true);
     assert.equal(Wall.isAllowed(wall, { kind: 'refused' }, false), false);
     assert.equal(Wall.isAllowed(wall, { kind: 'alone', wall: 'team others' }, false), false);
@@ -137,7 +139,7 @@
   });
 });
 
-describe('what a proxy remembers of a server', () => {
+describe('cache contents that a proxy records for a server', () => {
   const server = { instance: 'a1', region: 'a', group: 'llm' } as unknown as Compiled.Server;
   const group = { name: 'llm', memory: 1000 } as unknown as Compiled.Group;
   const want = (wall: string, key: string, tokens: number) => ({
@@ -147,7 +149,7 @@
       { key: 'own', tokens: 10 },
     ],
   });
-  it('is parted by wall, and no wall pushes out another', () => {
+  it('are separate for each tenant, and one tenant does not evict those of another', () => {
     const placement = Placement.of({
       region: () => 'a',
       zone: 'a-1',
--- a/tools/plants/wall-plants.ts
+++ b/tools/plants/wall-plants.ts
@@ -16,7 +16,7 @@
   "const mark = process.argv.at(-1) + '.started';",
   'const isAgain = existsSync(mark);',
   "writeFileSync(mark, '');",
-  'const published =',
+  'const defaultSaltName =',
 ].join('\n');
 
 export const WallPlants: WallPlants = [
@@ -41,7 +41,7 @@
     ...common,
     name: 'walls: the salt is left out after a restart',
     file: wall,
-    from: 'const published =',
+    from: 'const defaultSaltName =',
     to: startedBefore,
     also: {
       file: wall,
