--- a/test/bundle.test.ts
+++ b/test/bundle.test.ts
@@ -1,5 +1,7 @@
-// What the build makes for the users' platform: frames by the functions written out beforehand are the frames of
-// the schema, the programs start by the code kept beside them, and start without it too.
+/**
+ * The build for the platform: generated frame codecs are equivalent to the schema, and programs start with the V8 code cache,
+ * without it and with a damaged one.
+ */
 import assert from 'node:assert/strict';
 import { spawn, spawnSync } from 'node:child_process';
 import { existsSync, mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -15,11 +17,11 @@
 const shape = { longs: Number, defaults: true, arrays: true, oneofs: true } as const;
 type Type = typeof Schema.frame;
 type Codec = Pick<Type, 'encode' | 'decode' | 'fromObject' | 'toObject'>;
-type Tried = { readonly is: unknown } | { readonly fails: string };
+type Result = { readonly is: unknown } | { readonly fails: string };
 
 const random = Random.of(7);
 
-const makers: Readonly<Record<string, () => unknown>> = {
+const valueGenerators: Readonly<Record<string, () => unknown>> = {
   string: () => random.pick(['', 'a', 'ä—', 'x'.repeat(200)]),
   double: () => random.pick([0, -0, 1.5, -2e300]),
   float: () => random.pick([0, -0, 1.5, -0.25]),
@@ -29,21 +31,22 @@
   bytes: () => Buffer.from(Array.from({ length: random.below(40) }, () => random.below(256))),
 };
 
-/** Any message of that type, with fields left out at random. */
-const makeOf = (type: Type): Record<string, unknown> => {
+/** A random message of the type, with fields left out at random. */
+const generateMessage = (type: Type): Record<string, unknown> => {
   const body = type.oneofsArray.flatMap((one) => one.oneof);
   const chosen = random.pick(body);
   return Object.fromEntries(
     type.fieldsArray.flatMap((field) => {
       if (body.includes(field.name) ? field.name !== chosen : random.next() < 0.3) return [];
       const { resolvedType } = field.resolve();
-      const make = () => (resolvedType ? makeOf(resolvedType as Type) : makers[field.type]!());
+      const make = () =>
+        resolvedType ? generateMessage(resolvedType as Type) : valueGenerators[field.type]!();
       return [[field.name, field.repeated ? Array.from({ length: random.below(4) }, make) : make()]];
     }),
   );
 };
 
-const attempt = (work: () => unknown): Tried => {
+const resultOf = (work: () => unknown): Result => {
   try {
     return { is: work() };
   } catch (error) {
@@ -51,7 +54,7 @@
   }
 };
 
-const settingsIn = (folder: string): string => {
+const writeSettings = (folder: string): string => {
   const file = join(folder, 'settings.yaml');
   mkdirSync(join(folder, 'disk'), { recursive: true });
   const ip = `127.${process.pid % 250}.77.3`;
@@ -77,11 +80,11 @@
   return file;
 };
 
-describe('the build for the platform', () => {
+describe('build for the platform', () => {
   const folder = mkdtempSync(join(tmpdir(), 'bramblebend-bundle-'));
   const out = join(root, 'target', `test-${process.pid}`, 'bin');
   const program = join(out, 'bramblebend.cjs');
-  const env = { PATH: process.env.PATH, BRAMBLEBEND_SETTINGS: settingsIn(folder) };
+  const env = { PATH: process.env.PATH, BRAMBLEBEND_SETTINGS: writeSettings(folder) };
   let built: ReturnType<typeof spawnSync>;
   before(() => {
     built = spawnSync(process.execPath, [join(root, 'deploy/bundle.mjs'), out], {
@@ -94,7 +97,7 @@
     rmSync(join(out, '..'), { recursive: true, force: true });
   });
 
-  const ready = async (): Promise<Record<string, unknown>> => {
+  const startUntilReady = async (): Promise<Record<string, unknown>> => {
     const child = spawn(process.execPath, ['--max-old-space-size=160', program, 'control'], {
       env,
       stdio: ['ignore', 'pipe', 'inherit'],
@@ -113,7 +116,7 @@
     }
   };
 
-  it('is made with a rehearsal and keeps its code', () => {
+  it('runs the rehearsal and writes a code cache that V8 accepts', () => {
     assert.equal(built.status, 0, String(built.stderr));
     assert.doesNotMatch(String(built.stderr), /no rehearsal/);
     const cachedData = readFileSync(join(out, 'program.cache'));
@@ -124,7 +127,7 @@
       process.exit(script.cachedDataRejected?1:0)`;
     const files = [join(out, 'program.cjs'), join(out, 'program.cache')];
     const checked = spawnSync(process.execPath, ['--max-old-space-size=160', '-e', check, '--', ...files]);
-    assert.equal(checked.status, 0, 'V8 turns the kept code away');
+    assert.equal(checked.status, 0, 'V8 rejects the code cache');
     assert.ok(cachedData.length > 100_000);
     assert.ok(
       [...text].every((letter) => letter < '\u0080'),
@@ -132,26 +135,26 @@
     );
   });
 
-  it('starts by the kept code, and without it, and with one that is spoilt', async () => {
-    const kept = join(out, 'program.cache');
+  it('starts with the code cache, with a damaged one and without one', async () => {
+    const cachePath = join(out, 'program.cache');
     for (const prepare of [
-      () => assert.ok(existsSync(kept)),
-      () => writeFileSync(kept, readFileSync(kept).fill(7, 0, 64)),
-      () => rmSync(kept),
+      () => assert.ok(existsSync(cachePath)),
+      () => writeFileSync(cachePath, readFileSync(cachePath).fill(7, 0, 64)),
+      () => rmSync(cachePath),
     ]) {
       prepare();
-      const { ready: isReady, program: name, node } = await ready();
+      const { ready: isReady, program: name, node } = await startUntilReady();
       assert.deepEqual([isReady, name, node], [true, 'bramblebend-control', 'a-core']);
     }
   });
 
-  it('has no WebAssembly for V8 to compile, and changes no flag of a V8 that runs', () => {
+  it('contains no WebAssembly and sets no V8 flags at run time', () => {
     for (const name of ['program.cjs', 'bramblebend.cjs'])
       for (const word of ['WebAssembly', 'setFlagsFromString'])
         assert.equal(readFileSync(join(out, name), 'latin1').includes(word), false, `${word} in ${name}`);
   });
 
-  it('writes out the functions of each frame as the library would make them', async () => {
+  it('generates frame codecs that are equivalent to those of the library', async () => {
     const { frameCode } = (await import(pathToFileURL(join(root, 'deploy/frame-code.mjs')).href)) as {
       frameCode: (frame: Type) => string;
     };
@@ -163,17 +166,17 @@
     const read = (codec: Codec, bytes: Buffer) => codec.toObject(codec.decode(bytes) as never, shape);
     const kinds = new Set<unknown>();
     for (let count = 0; count < 3000; count += 1) {
-      const value = makeOf(Schema.frame);
+      const value = generateMessage(Schema.frame);
       const bytes = encode(Schema.frame, value);
       assert.deepEqual(encode(made.frame, value), bytes);
       const plain = read(Schema.frame, bytes);
       kinds.add(plain.body);
       assert.deepEqual(read(made.frame, bytes), plain);
-      const bent = Buffer.from(bytes.subarray(0, random.below(bytes.length + 1)));
-      if (bent.length > 0) bent[random.below(bent.length)] = random.below(256);
+      const corrupted = Buffer.from(bytes.subarray(0, random.below(bytes.length + 1)));
+      if (corrupted.length > 0) corrupted[random.below(corrupted.length)] = random.below(256);
       assert.deepEqual(
-        attempt(() => read(made.frame, bent)),
-        attempt(() => read(Schema.frame, bent)),
+        resultOf(() => read(made.frame, corrupted)),
+        resultOf(() => read(Schema.frame, corrupted)),
       );
     }
     assert.equal(kinds.size, Schema.frame.oneofsArray[0]!.oneof.length);
--- a/test/lean.test.ts
+++ b/test/lean.test.ts
@@ -1,5 +1,7 @@
-// What stands in for Node.js's fetch classes in the deployed programs does what those do, and hands over to
-// them when asked for more.
+/**
+ * The lightweight replacements of the fetch classes behave like those of Node.js, and load them only for what they do not
+ * cover themselves.
+ */
 import assert from 'node:assert/strict';
 import { createServer, request } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -17,13 +19,13 @@
   }
 };
 
-describe('lean fetch classes', () => {
+describe('lightweight fetch classes', () => {
   let isLoaded: () => boolean;
   before(async () => {
     ({ isLoaded } = (await import('../platform/lean/fetch-classes.js')).FetchClasses);
   });
 
-  it('keep headers as Node.js’s own do', () => {
+  it('implement Headers like Node.js', () => {
     assert.notEqual(Headers, NativeHeaders);
     const steps: ((headers: Headers) => unknown)[] = [
       (headers) => headers.append('X-One', ' a '),
@@ -54,14 +56,14 @@
     ];
     const inits = [undefined, {}, { B: '1', a: '2' }, [['z', '1'] as const, ['Z', '2'] as const]];
     for (const init of inits) {
-      const [ours, theirs] = [new Headers(init as never), new NativeHeaders(init as never)];
-      for (const step of steps) assert.deepEqual(step(ours), step(theirs), String(step));
-      assert.deepEqual([...new Headers(ours)], [...new NativeHeaders(theirs)]);
-      assert.deepEqual([...new Headers(theirs)], [...theirs]);
+      const [lightweight, native] = [new Headers(init as never), new NativeHeaders(init as never)];
+      for (const step of steps) assert.deepEqual(step(lightweight), step(native), String(step));
+      assert.deepEqual([...new Headers(lightweight)], [...new NativeHeaders(native)]);
+      assert.deepEqual([...new Headers(native)], [...native]);
     }
   });
 
-  it('make an empty response without Node.js’s own, and any other with it', async () => {
+  it('create empty responses without the classes of Node.js, and others with them', async () => {
     assert.equal(isLoaded(), false);
     const empty = new Response(null, { status: 404, headers: { A: 'b' } });
     assert.deepEqual([empty.status, empty.ok, empty.body, empty.headers.get('a')], [404, false, null, 'b']);
@@ -81,12 +83,12 @@
     assert.deepEqual([asked.method, asked.headers.get('c'), await asked.text()], ['POST', 'd', 'x']);
   });
 
-  describe('under the HTTP library', () => {
+  describe('with the HTTP library', () => {
     const servers: ReturnType<typeof createServer>[] = [];
     after(() => {
       for (const server of servers) server.close();
     });
-    it('serve texts, JSON, bytes, streams, headers and bodies', async () => {
+    it('serve text, JSON, bytes, streams and headers, and read request bodies', async () => {
       const { getRequestListener } = await import('@hono/node-server');
       const { RESPONSE_ALREADY_SENT } = await import('@hono/node-server/utils/response');
       const { Hono } = await import('hono');
--- a/test/platform-client.test.ts
+++ b/test/platform-client.test.ts
@@ -1,5 +1,7 @@
-// The stand-in's list, clients and operator, against servers of the stand-in and small nodes of the test: pages
-// and rates, what clients repeat and when, streams taken up, and whom the operator asks next.
+/**
+ * The simulated server list, clients and operator of the platform, against simulated servers and small HTTP servers of the
+ * test: paging and rate limits, when clients retry, resumed streams, and which node the operator asks next.
+ */
 import assert from 'node:assert/strict';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -15,9 +17,9 @@
 import { Words } from '../tools/platform/words.js';
 import { Random } from '../tools/random.js';
 
-const ends: (() => Promise<unknown>)[] = [];
+const cleanups: (() => Promise<unknown>)[] = [];
 afterEach(async () => {
-  for (const end of ends.splice(0).reverse()) await end();
+  for (const cleanUp of cleanups.splice(0).reverse()) await cleanUp();
 });
 
 type Handle = (incoming: IncomingMessage, response: ServerResponse) => void;
@@ -25,7 +27,7 @@
 const serve = async (handle: Handle): Promise<string> => {
   const server: Server = createServer(handle);
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-  ends.push(
+  cleanups.push(
     () =>
       new Promise((resolve) => {
         server.close(resolve);
@@ -34,13 +36,13 @@
   );
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 };
-const answer = (
+const respond = (
   response: ServerResponse,
   status: number,
   body: object,
-  head: Record<string, string> = {},
+  headers: Record<string, string> = {},
 ) => {
-  response.writeHead(status, { 'Content-Type': 'application/json', ...head });
+  response.writeHead(status, { 'Content-Type': 'application/json', ...headers });
   response.end(JSON.stringify(body));
 };
 const startEngine = async (recording: Recording, instance: string, more: Partial<Engine.Terms> = {}) => {
@@ -54,7 +56,7 @@
     recording,
     ...more,
   });
-  ends.push(engine.crash);
+  cleanups.push(engine.crash);
   return engine;
 };
 
@@ -78,7 +80,7 @@
   const asked: string[] = [];
   const directory = await serve((incoming, response) => {
     asked.push(incoming.url ?? '');
-    answer(response, 200, { addresses: fronts(), 'ttl-s': ttl });
+    respond(response, 200, { addresses: fronts(), 'ttl-s': ttl });
   });
   const client = Client.of({
     directories: [directory],
@@ -89,16 +91,16 @@
     recording,
     ttlMax: 5,
   });
-  ends.push(client.stop);
+  cleanups.push(client.stop);
   return { client, asked };
 };
-const breachesOf = (recording: Recording) => {
+const violationsOf = (recording: Recording) => {
   const { twice, refused, unasked, mixed, order } = Checks.all;
   return [twice, refused, unasked, mixed, order].flatMap((check) => check!(recording, {} as never).breaches);
 };
 
-describe('the clients of the stand-in', () => {
-  it('learn where to go once, and read a stream to its end', async () => {
+describe('simulated clients', () => {
+  it('resolve the directory once, and read a stream to its end', async () => {
     const recording = Recording.of();
     const engine = await startEngine(recording, 'i-1');
     const { client, asked } = await startClient(recording, () => [engine.address]);
@@ -108,11 +110,11 @@
       seen.map(() => ['whole', [1, 2, 3, 4, 5, 6, 7, 8]]),
     );
     assert.deepEqual(asked, ['/resolution?name=h.example&region=a&zone=a-1']);
-    assert.equal(engine.connections(), 1, 'the connection is kept');
-    assert.deepEqual(breachesOf(recording), []);
+    assert.equal(engine.connections(), 1, 'the connection is reused');
+    assert.deepEqual(violationsOf(recording), []);
   });
 
-  it('repeat a once request after a promise, as late as told, with another id on a new connection', async () => {
+  it('retry a once request that certainly did not run, after the Retry-After, with another id on a new connection', async () => {
     const recording = Recording.of();
     const engine = await startEngine(recording, 'i-1');
     const { client } = await startClient(recording, () => [engine.address]);
@@ -120,11 +122,11 @@
     assert.equal((await client.call(kind())).outcome, 'whole');
     const [first, second] = recording.sent;
     assert.notEqual(first!.attempt, second!.attempt);
-    assert.ok(second!.at - recording.ended[0]!.at >= 199, 'waited as told');
-    assert.deepEqual(breachesOf(recording), []);
+    assert.ok(second!.at - recording.ended[0]!.at >= 199, 'waited for the Retry-After');
+    assert.deepEqual(violationsOf(recording), []);
   });
 
-  it('do not repeat a once request that may have run, and repeat a safe one', async () => {
+  it('do not retry a once request that may have run, but retry a repeatable one', async () => {
     const recording = Recording.of();
     const engine = await startEngine(recording, 'i-1');
     const { client } = await startClient(recording, () => [engine.address]);
@@ -136,7 +138,7 @@
     assert.equal(recording.sent.length, 3);
   });
 
-  it('take a resumable stream up behind its last event', async () => {
+  it('resume a resumable stream after its last event', async () => {
     const recording = Recording.of();
     const engine = await startEngine(recording, 'i-1');
     const { client } = await startClient(recording, () => [engine.address]);
@@ -150,10 +152,10 @@
       ],
     );
     assert.equal(ended.outcome, 'whole');
-    assert.deepEqual(breachesOf(recording), []);
+    assert.deepEqual(violationsOf(recording), []);
   });
 
-  it('do not take a stream up that may not be resumed, nor repeat after a 404', async () => {
+  it('do not resume other streams, and do not retry after a 404', async () => {
     const recording = Recording.of();
     const engine = await startEngine(recording, 'i-1');
     const { client } = await startClient(recording, () => [engine.address]);
@@ -164,17 +166,17 @@
     assert.equal(recording.sent.length, 2);
   });
 
-  it('go elsewhere when a node cannot be reached', async () => {
+  it('use another proxy when one is unreachable', async () => {
     const recording = Recording.of();
     const engine = await startEngine(recording, 'i-1');
-    const gone = await startEngine(recording, 'i-2');
-    await gone.crash();
-    const { client } = await startClient(recording, () => [gone.address, engine.address]);
+    const crashed = await startEngine(recording, 'i-2');
+    await crashed.crash();
+    const { client } = await startClient(recording, () => [crashed.address, engine.address]);
     for (let index = 0; index < 6; index += 1) assert.equal((await client.call(kind())).outcome, 'whole');
-    assert.ok(recording.sent.filter((sent) => sent.front === gone.address).length <= 1);
+    assert.ok(recording.sent.filter((sent) => sent.front === crashed.address).length <= 1);
   });
 
-  it('tell a surplus answer and bytes that are no answer', async () => {
+  it('report a surplus response and bytes that are not a response', async () => {
     const recording = Recording.of();
     const plain = await startEngine(recording, 'i-1', { isPlain: true, span: 1 });
     const { client } = await startClient(recording, () => [plain.address]);
@@ -183,12 +185,12 @@
     plain.fault({ kind: 'surplus', when: 'next', times: 1 });
     await client.call(kind({ isStream: false }));
     await client.call(kind({ isStream: false }));
-    const why = breachesOf(recording).join('; ');
+    const why = violationsOf(recording).join('; ');
     assert.match(why, /no answer/);
     assert.match(why, /the answer of/);
   });
 
-  it('play a mix of kinds, and each ends', async () => {
+  it('send a mix of request kinds, and each request ends', async () => {
     const recording = Recording.of();
     const engine = await startEngine(recording, 'i-1');
     const { client } = await startClient(recording, () => [engine.address]);
@@ -197,11 +199,11 @@
     await client.pause();
     assert.equal(recording.ended.length, recording.sent.length);
     assert.ok(recording.ended.every((ended) => ended.outcome === 'whole'));
-    assert.deepEqual(breachesOf(recording), []);
+    assert.deepEqual(violationsOf(recording), []);
   });
 });
 
-describe('the list of the stand-in', () => {
+describe('simulated server list', () => {
   const start = async (more: Partial<PlatformList.Terms> = {}) => {
     const recording = Recording.of();
     const list = await PlatformList.start({
@@ -213,7 +215,7 @@
       recording,
       ...more,
     });
-    ends.push(list.stop);
+    cleanups.push(list.stop);
     const get = async (query = '') => {
       const got = await request(`http://${list.address}${Words.paths.list}${query}`);
       const body = (await got.body.json()) as {
@@ -225,7 +227,7 @@
     return { recording, list, get };
   };
 
-  it('comes in pages, for one zone or all, with what the page names', async () => {
+  it('returns pages, for one zone or all, with the documented fields', async () => {
     const { recording, list, get } = await start();
     for (const [id, zone] of [
       ['i-1', 'a-1'],
@@ -253,14 +255,14 @@
     ]);
   });
 
-  it('turns calls away beyond its rate', async () => {
+  it('rejects calls above its rate limit', async () => {
     const { get, list } = await start({ perSecond: 3 });
     const statuses = [await get(), await get(), await get(), await get()].map((one) => one.status);
     assert.deepEqual(statuses, [200, 200, 200, 429]);
     assert.deepEqual(list.calls(), { answered: 3, turnedAway: 1 });
   });
 
-  it('lags behind: shows draining and the end later than they are, and writes down when', async () => {
+  it('lags: shows draining and removal late, and records when it did', async () => {
     const { recording, list, get } = await start({ lag: 80, perSecond: 1e6 });
     const engine = await startEngine(recording, 'i-1');
     list.show(engine);
@@ -280,7 +282,7 @@
   });
 });
 
-describe('the operator of the stand-in', () => {
+describe('simulated operator', () => {
   const configuration: Operator.Configuration = {
     revision: 3,
     'route-table': [
@@ -298,38 +300,38 @@
   const operate = (recording: Recording, nodes: readonly string[]) =>
     Operator.of({ nodes: () => nodes, random: Random.of(3), recording, ackWithin: 2000 });
 
-  it('follows where it is led, and names the version that it builds on', async () => {
+  it('follows redirects, and sends the base revision', async () => {
     const recording = Recording.of();
-    const heads: unknown[] = [];
+    const baseRevisions: unknown[] = [];
     const second = await serve((incoming, response) => {
-      heads.push(incoming.headers['base-revision']);
-      answer(response, 200, {});
+      baseRevisions.push(incoming.headers['base-revision']);
+      respond(response, 200, {});
     });
     const first = await serve((incoming, response) =>
-      answer(response, 307, {}, { Location: `http://${second}${incoming.url}` }),
+      respond(response, 307, {}, { Location: `http://${second}${incoming.url}` }),
     );
     assert.equal(await operate(recording, [first]).put(configuration, 0), 200);
-    assert.deepEqual(heads, ['0']);
+    assert.deepEqual(baseRevisions, ['0']);
     const [order] = recording.orders;
     assert.ok(order?.kind === 'configuration' && order.acked !== undefined && order.revision === 3);
   });
 
-  it('goes on to others after a failure and ends at a clear refusal', async () => {
+  it('tries other nodes after a failure, and stops at a definite rejection', async () => {
     const recording = Recording.of();
     let asked = 0;
     const bad = await serve((_incoming, response) => {
       asked += 1;
-      answer(response, asked < 3 ? 503 : 412, {});
+      respond(response, asked < 3 ? 503 : 412, {});
     });
     assert.equal(await operate(recording, [bad]).put(configuration, 2), 412);
     assert.equal(asked, 3);
     assert.equal(recording.orders[0]!.acked, undefined);
   });
 
-  it('tells what it read back apart from what it sent, whatever the order of fields', async () => {
+  it('compares what it reads back with what it sent, regardless of field order', async () => {
     const recording = Recording.of();
     const node = await serve((_incoming, response) =>
-      answer(response, 200, {
+      respond(response, 200, {
         limits: {},
         services: configuration.services,
         'route-table': configuration['route-table'],
@@ -342,13 +344,13 @@
     assert.deepEqual(Checks.all.readBack!(recording, {} as never), { occasions: 1, breaches: [] });
   });
 
-  it('asks for an evacuation and its end, until each is acknowledged', async () => {
+  it('repeats the begin and finish of an evacuation until they are acknowledged', async () => {
     const recording = Recording.of();
     const asked: string[] = [];
     const node = await serve((incoming, response) => {
       asked.push(`${incoming.method} ${incoming.url}`);
       if (asked.length === 1) incoming.socket.resetAndDestroy();
-      else answer(response, 200, {});
+      else respond(response, 200, {});
     });
     const operator = operate(recording, [node]);
     assert.deepEqual([await operator.evacuate('a-1'), await operator.takeBack('a-1')], [200, 200]);
--- a/test/platform-control.test.ts
+++ b/test/platform-control.test.ts
@@ -1,5 +1,7 @@
-// The control side on the users' platform, as whole programs: the operator's configurations and evacuations,
-// the directory, the polled list of servers, and settings files that cannot be used.
+/**
+ * The control plane on the platform, run as whole programs: configurations and evacuations of the operator, the directory,
+ * the polled server list, and invalid settings files.
+ */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
@@ -23,52 +25,53 @@
   'max-attempts': 2,
 };
 const service = { name: 'huvo11a', 'health-path': '/health', 'max-connections': 360, protocol: 'h1' };
-const written = (revision: number, more: object = {}): string =>
+const configurationText = (revision: number, more: object = {}): string =>
   JSON.stringify({ revision, 'route-table': [route], services: [service], limits: {}, ...more }, null, 1);
-const warmingFor = (span: number): ListServer.Instance => {
-  const until = performance.now() + span;
+const warmingFor = (durationMs: number): ListServer.Instance => {
+  const warmUntil = performance.now() + durationMs;
   return Object.defineProperty(ListServer.instance('i-8', 'sto-b'), 'warmup-left-ms', {
     enumerable: true,
-    get: () => Math.max(0, until - performance.now()),
+    get: () => Math.max(0, warmUntil - performance.now()),
   });
 };
-const on = (base: number) => ({ 'base-revision': String(base) });
+const withBase = (base: number) => ({ 'base-revision': String(base) });
 
-describe('control on the platform', () => {
+describe('control plane on the platform', () => {
   let kit: PlatformKit;
   let current = 0;
-  let words = '';
+  let currentText = '';
 
   before(async () => {
     kit = await PlatformKit.start();
   });
   after(() => kit.stop());
 
-  const replace = (body: string, base = current) => kit.sendCommand('/configuration/replace', body, on(base));
+  const replace = (body: string, base = current) =>
+    kit.sendCommand('/configuration/replace', body, withBase(base));
   const advance = async (more: object = {}): Promise<void> => {
-    const body = written(current + 3, more);
+    const body = configurationText(current + 3, more);
     assert.equal((await replace(body)).status, 200);
-    [current, words] = [current + 3, body];
+    [current, currentText] = [current + 3, body];
   };
-  const placesOf = ({ body }: PlatformKit.Response): string[] =>
+  const findingPlacesOf = ({ body }: PlatformKit.Response): string[] =>
     ((body.error as { findings?: { place: string }[] }).findings ?? []).map((one) => one.place).sort();
 
   it('polls the list before any configuration, page by page', async () => {
     kit.list.perPage = 2;
     kit.list.instances = [0, 1, 2, 3, 4].map((index) => ListServer.instance(`i-${index}`, 'sto-a'));
     await kit.list.polls(2);
-    const early = await kit.call(kit.cores[0]!, 'POST', '/evacuation/sto-a/begin');
-    assert.equal(early.status, 503);
-    assert.ok(Number(early.headers['retry-after']) > 0);
+    const beforeConfiguration = await kit.call(kit.cores[0]!, 'POST', '/evacuation/sto-a/begin');
+    assert.equal(beforeConfiguration.status, 503);
+    assert.ok(Number(beforeConfiguration.headers['retry-after']) > 0);
     assert.equal((await kit.call(kit.cores[1]!, 'GET', '/configuration/read')).status, 503);
   });
 
-  it('takes a configuration at any core and reads it back byte for byte', async () => {
+  it('accepts a configuration at any core and returns it byte for byte', async () => {
     await advance({ note: 'écrit à la main — 世界' });
     for (const core of kit.cores) {
       const read = await kit.call(core, 'GET', '/configuration/read');
       assert.equal(read.status, 200);
-      assert.equal(read.text, words);
+      assert.equal(read.text, currentText);
       assert.match(String(read.headers['content-type']), /application\/json/);
     }
     const { manifest, platform } = await kit.waitForView((view) => view.platform.servers.length === 5);
@@ -84,31 +87,31 @@
     });
   });
 
-  it('answers a repeat as taken, also when newer ones are in place', async () => {
-    const [body, base] = [written(current + 2, { note: 'first' }), current];
+  it('accepts a repeated request again, even after newer configurations', async () => {
+    const [body, base] = [configurationText(current + 2, { note: 'first' }), current];
     assert.equal((await replace(body, base)).status, 200);
     assert.equal((await replace(body, base)).status, 200);
     current += 2;
     await advance();
     assert.equal((await replace(body, base)).status, 200);
-    assert.equal(await kit.readConfiguration(), words);
+    assert.equal(await kit.readConfiguration(), currentText);
   });
 
-  it('tells a stale base by 412 and a number that is not above by 400', async () => {
-    const stale = await replace(written(current + 9, { note: 'stale' }), current - 1);
+  it('rejects a stale base with 412 and a revision that is not higher with 400', async () => {
+    const stale = await replace(configurationText(current + 9, { note: 'stale' }), current - 1);
     assert.equal(stale.status, 412);
-    const low = await replace(written(current - 1, { note: 'low' }));
-    assert.equal(low.status, 400);
-    assert.deepEqual(placesOf(low), ['/source/number']);
-    assert.equal((await replace(written(current, { note: 'same number' }))).status, 400);
-    assert.equal(await kit.readConfiguration(), words);
+    const notHigher = await replace(configurationText(current - 1, { note: 'low' }));
+    assert.equal(notHigher.status, 400);
+    assert.deepEqual(findingPlacesOf(notHigher), ['/source/number']);
+    assert.equal((await replace(configurationText(current, { note: 'same number' }))).status, 400);
+    assert.equal(await kit.readConfiguration(), currentText);
   });
 
-  it('tells what is invalid by 400 with every place, and changes nothing', async () => {
+  it('rejects an invalid configuration with 400 and all findings, and changes nothing', async () => {
     const answers = await Promise.all(
       [
-        written(current + 5, { 'route-table': [{ ...route, 'timeout-ms': 0 }] }),
-        written(current + 5, {
+        configurationText(current + 5, { 'route-table': [{ ...route, 'timeout-ms': 0 }] }),
+        configurationText(current + 5, {
           'route-table': [
             { ...route, 'target-service': 'nobody' },
             { ...route, name: 'r-2' },
@@ -128,29 +131,32 @@
       answers.map((one) => one.status),
       [400, 400, 400, 400],
     );
-    assert.deepEqual(answers.map(placesOf), [
+    assert.deepEqual(answers.map(findingPlacesOf), [
       ['/route-table/0/timeout-ms'],
       ['/route-table/0', '/route-table/1/path-prefix', '/route-table/2/weighted-targets'],
       ['/revision', '/route-table', '/services/0/name'],
       ['/'],
     ]);
-    const noBase = await kit.sendCommand('/configuration/replace', written(current + 5));
+    const noBase = await kit.sendCommand('/configuration/replace', configurationText(current + 5));
     assert.equal(noBase.status, 400);
-    assert.deepEqual(placesOf(noBase), ['Base-Revision']);
-    assert.equal(await kit.readConfiguration(), words);
+    assert.deepEqual(findingPlacesOf(noBase), ['Base-Revision']);
+    assert.equal(await kit.readConfiguration(), currentText);
   });
 
-  it('lets exactly one of two on the same base win', async () => {
-    const bodies = [written(current + 4, { note: 'left' }), written(current + 7, { note: 'right' })];
+  it('accepts exactly one of two concurrent configurations with the same base', async () => {
+    const bodies = [
+      configurationText(current + 4, { note: 'left' }),
+      configurationText(current + 7, { note: 'right' }),
+    ];
     const answers = await Promise.all(bodies.map((body) => replace(body)));
     assert.deepEqual(answers.map((one) => one.status).sort(), [200, 412]);
     const winner = answers.findIndex((one) => one.status === 200);
     current += [4, 7][winner]!;
-    words = bodies[winner]!;
-    assert.equal(await kit.readConfiguration(), words);
+    currentText = bodies[winner]!;
+    assert.equal(await kit.readConfiguration(), currentText);
   });
 
-  it('takes a configuration of hundreds of routes, and one of megabytes', async () => {
+  it('accepts a configuration with hundreds of routes, and one of several megabytes', async () => {
     const routes = Array.from({ length: 600 }, (_none, index) => ({
       ...route,
       name: `r-${index}`,
@@ -158,11 +164,11 @@
     }));
     await advance({ 'route-table': routes });
     await advance({ note: 'x'.repeat(4 * 1024 * 1024) });
-    assert.equal(await kit.readConfiguration(), words);
+    assert.equal(await kit.readConfiguration(), currentText);
     await advance();
   });
 
-  it('evacuates a zone and takes it back, across a replace and a takeover', async () => {
+  it('begins and ends evacuations, and keeps them over a new configuration and a failover', async () => {
     assert.equal((await kit.sendCommand('/evacuation/nowhere/begin')).status, 404);
     assert.equal((await kit.sendCommand('/evacuation/sto-a/begin')).status, 200);
     assert.equal((await kit.sendCommand('/evacuation/sto-a/begin')).status, 200);
@@ -177,12 +183,12 @@
     assert.equal((await kit.sendCommand('/evacuation/sto-a/finish')).status, 200);
     assert.equal((await kit.sendCommand('/evacuation/sto-a/finish')).status, 200);
     await kit.waitForView((one) => one.manifest?.document.evacuations?.join() === 'got-a');
-    assert.equal(await kit.readConfiguration(), words);
+    assert.equal(await kit.readConfiguration(), currentText);
     await kit.startCore(primary);
     assert.equal((await kit.sendCommand('/evacuation/got-a/finish')).status, 200);
   });
 
-  it('takes changes of the list under the primary of the moment, and a countdown as none', async () => {
+  it('applies list changes after a failover, and does not treat a warm-up countdown as a change', async () => {
     const { list } = kit;
     const primary = await kit.findPrimary();
     await primary.process?.end('SIGKILL');
@@ -208,9 +214,9 @@
     await kit.startCore(primary);
   });
 
-  it('keeps the list when a poll fails, gives nothing or is over the rate', async () => {
+  it('keeps the list when a poll fails, returns no servers or exceeds the rate', async () => {
     const { list } = kit;
-    const held = list.instances;
+    const instances = list.instances;
     const before = await kit.waitForView((view) => view.platform.servers.length === 2);
     list.instances = [];
     await list.polls(2);
@@ -220,27 +226,27 @@
     await list.polls(2);
     list.status = 429;
     await list.polls(2);
-    list.instances = [...held, ListServer.instance('i-6', 'sto-a')];
+    list.instances = [...instances, ListServer.instance('i-6', 'sto-a')];
     list.status = 200;
     const later = await kit.waitForView((view) => view.platform.servers.length === 3);
     assert.equal(later.platform.serial, before.platform.serial + 1);
   });
 
-  it('keeps what it acknowledged when all cores are killed at once', async () => {
+  it('keeps acknowledged changes when all cores are killed at once', async () => {
     assert.equal((await kit.sendCommand('/evacuation/sto-b/begin')).status, 200);
     await advance();
     await Promise.all(kit.cores.map((core) => core.process?.end('SIGKILL')));
     await Promise.all(kit.cores.map(kit.startCore));
-    assert.equal(await kit.readConfiguration(), words);
-    assert.equal((await replace(words, current - 3)).status, 200);
-    const stale = await replace(written(current + 1), current - 3);
+    assert.equal(await kit.readConfiguration(), currentText);
+    assert.equal((await replace(currentText, current - 3)).status, 200);
+    const stale = await replace(configurationText(current + 1), current - 3);
     assert.equal(stale.status, 412);
     const view = await kit.waitForView((one) => one.manifest?.document.source?.number === current);
     assert.deepEqual(view.manifest?.document.evacuations, ['sto-b']);
   });
 });
 
-describe('the directory of the platform', () => {
+describe('directory of the platform', () => {
   let kit: PlatformKit;
 
   before(async () => {
@@ -248,18 +254,20 @@
   });
   after(() => kit.stop());
 
-  type Found = { status: number; addresses: string[] };
-  const resolve = async (zone: string, core = kit.cores[0]!): Promise<Found> => {
+  type Resolution = { status: number; addresses: string[] };
+  const resolve = async (zone: string, core = kit.cores[0]!): Promise<Resolution> => {
     const answer = await request(`http://${core.directory}/resolution?name=nony24.example&zone=${zone}`);
     const body = (await answer.body.json()) as { addresses?: string[]; 'ttl-s'?: number };
     if (answer.statusCode === 200) assert.equal(body['ttl-s'], 1);
     return { status: answer.statusCode, addresses: (body.addresses ?? []).sort() };
   };
-  const shows = (zone: string, wanted: readonly string[], core = kit.cores[0]!) =>
+  const expectAddresses = (zone: string, expected: readonly string[], core = kit.cores[0]!) =>
     PlatformKit.waitUntil(async () => {
-      const found = await resolve(zone, core);
-      return found.status === 200 && found.addresses.join() === [...wanted].sort().join() ? found : undefined;
-    }, `${zone} is told ${wanted.join()}`);
+      const resolution = await resolve(zone, core);
+      return resolution.status === 200 && resolution.addresses.join() === [...expected].sort().join()
+        ? resolution
+        : undefined;
+    }, `${zone} resolves to ${expected.join()}`);
   const listenOf = (...indexes: number[]) => indexes.map((index) => kit.fronts[index]!.listen);
   const readiness = async (index: number) =>
     (await request(`http://${kit.fronts[index]!.ready}/readiness`)).statusCode;
@@ -269,49 +277,52 @@
     assert.equal(await readiness(0), 503);
   });
 
-  it('tells callers the nearest ready proxies, from any core', async () => {
-    assert.equal((await kit.sendCommand('/configuration/replace', written(1), on(0))).status, 200);
+  it('returns the nearest ready proxies, at any core', async () => {
+    assert.equal(
+      (await kit.sendCommand('/configuration/replace', configurationText(1), withBase(0))).status,
+      200,
+    );
     for (const core of kit.cores) {
-      await shows('sto-a', listenOf(0, 1), core);
-      await shows('sto-b', listenOf(0, 1), core);
-      await shows('got-a', listenOf(2), core);
-      await shows('unheard-of', listenOf(0, 1, 2), core);
+      await expectAddresses('sto-a', listenOf(0, 1), core);
+      await expectAddresses('sto-b', listenOf(0, 1), core);
+      await expectAddresses('got-a', listenOf(2), core);
+      await expectAddresses('unheard-of', listenOf(0, 1, 2), core);
     }
     assert.equal(await readiness(0), 200);
     const [core] = kit.cores;
-    const own = await kit.call(core!, 'GET', '/v1/directory?zone=got-a');
-    assert.deepEqual(own.body, {
+    const productResponse = await kit.call(core!, 'GET', '/v1/directory?zone=got-a');
+    assert.deepEqual(productResponse.body, {
       proxies: [{ node: 'edge-2', address: kit.fronts[2]!.listen, zone: 'got-a' }],
       ttl: 2000,
     });
   });
 
-  it('leaves out those that drain, and sends on to others when none is left', async () => {
+  it('omits draining proxies, and returns those of other zones when none is left', async () => {
     const [first, , last] = kit.fronts;
     await last!.process?.end('SIGTERM');
-    await shows('got-a', listenOf(0, 1));
+    await expectAddresses('got-a', listenOf(0, 1));
     first!.process?.signal('SIGTERM');
-    await shows('sto-a', listenOf(1));
+    await expectAddresses('sto-a', listenOf(1));
     await first!.process?.ended;
     await kit.startFront(first!);
     await kit.startFront(last!);
-    await shows('sto-a', listenOf(0, 1));
-    await shows('got-a', listenOf(2));
+    await expectAddresses('sto-a', listenOf(0, 1));
+    await expectAddresses('got-a', listenOf(2));
   });
 
-  it('counts the proxies of an evacuated zone as not ready', async () => {
+  it('treats proxies of an evacuated zone as not ready', async () => {
     assert.equal((await kit.sendCommand('/evacuation/sto-a/begin')).status, 200);
-    await shows('sto-a', listenOf(2));
+    await expectAddresses('sto-a', listenOf(2));
     assert.equal((await kit.sendCommand('/evacuation/sto-a/finish')).status, 200);
-    await shows('sto-a', listenOf(0, 1));
+    await expectAddresses('sto-a', listenOf(0, 1));
   });
 
-  it('serves on after a settings file is read anew, good or bad', async () => {
+  it('keeps serving after an invalid settings file is loaded', async () => {
     const [core] = kit.cores;
     const file = join(kit.folder, `${core!.node}.yaml`);
     writeFileSync(file, 'node-name: [');
     core!.process?.signal('SIGHUP');
-    await shows('got-a', listenOf(2));
+    await expectAddresses('got-a', listenOf(2));
     assert.ok(core!.process?.isUp());
   });
 });
@@ -326,7 +337,7 @@
     });
   const machine = { node: 'edge-1', zone: 'sto-a', ip: '127.0.0.1' };
 
-  it('are reported with all places when they cannot be used, and end with 2', async () => {
+  it('are reported with all findings when they are invalid, and the process exits with 2', async () => {
     const kit = await PlatformKit.start();
     try {
       const file = join(kit.folder, 'bad.yaml');
@@ -337,10 +348,10 @@
       for (const place of ['/seed-nodes/0', '/internal-ports', '/zones', '/bindings/front'])
         assert.match(bad.stderr, new RegExp(`${place} `));
       writeFileSync(file, stringify(PlatformKit.settings(machine, {}, { 'seed-nodes': ['127.0.0.1:1'] })));
-      const lacking = run(file, 'control');
-      assert.equal(lacking.status, 2);
+      const incomplete = run(file, 'control');
+      assert.equal(incomplete.status, 2);
       for (const place of ['/bindings/control-plane', '/data-directory'])
-        assert.match(lacking.stderr, new RegExp(`${place} is missing`));
+        assert.match(incomplete.stderr, new RegExp(`${place} is missing`));
       assert.match(run(file, 'neither').stderr, /must be front or control/);
       assert.equal(run(join(kit.folder, 'nowhere.yaml'), 'front').status, 2);
     } finally {
--- a/test/platform-kit.ts
+++ b/test/platform-kit.ts
@@ -1,5 +1,7 @@
-// A small installation as the users' platform lays it out: whole programs over loopback, each told what it
-// is by a settings file, with the operator's calls made as the platform makes them.
+/**
+ * A small fleet in the layout of the platform: whole programs over loopback, each configured by a settings file, with
+ * operator calls as the platform makes them.
+ */
 import { mkdirSync, mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -14,6 +16,7 @@
 import { Process } from '../tools/process.js';
 import { ListServer } from './list-server.js';
 
+/** A running fleet. */
 export type PlatformKit = {
   readonly cores: PlatformKit.Core[];
   readonly fronts: PlatformKit.Front[];
@@ -21,7 +24,7 @@
   readonly folder: string;
   readonly startCore: (core: PlatformKit.Core) => Promise<void>;
   readonly startFront: (front: PlatformKit.Front) => Promise<void>;
-  /** One call to one core, answered as it comes. */
+  /** Sends one request to one core. */
   readonly call: (
     core: PlatformKit.Core,
     method: string,
@@ -29,15 +32,18 @@
     body?: string | Uint8Array,
     headers?: Record<string, string>,
   ) => Promise<PlatformKit.Response>;
-  /** As the operator does it: repeated unchanged, to the next node after a 5xx or silence. */
+  /** Sends a command as the operator does: after a 5xx or no response, the same request goes to the next core. */
   readonly sendCommand: (
     path: string,
     body?: string | Uint8Array,
     headers?: Record<string, string>,
   ) => Promise<PlatformKit.Response>;
+  /** Reads the configuration back from the first core that returns it. */
   readonly readConfiguration: () => Promise<string>;
+  /** Waits for a core that leads. */
   readonly findPrimary: () => Promise<PlatformKit.Core>;
-  readonly waitForView: (see: (view: View) => boolean) => Promise<View>;
+  /** Waits for a view that matches; the views come from the cores as to any other node. */
+  readonly waitForView: (matches: (view: View) => boolean) => Promise<View>;
   readonly stop: () => Promise<void>;
 };
 
@@ -55,9 +61,10 @@
 
 const zones = { 'sto-a': 'sto', 'sto-b': 'sto', 'got-a': 'got' };
 const ports = { wire: 7720, control: 8166, directory: 8167, front: 8161, ready: 8168 };
+/** The longest wait, in milliseconds. */
 const within = 20_000;
 const main = new URL('../platform/main.js', import.meta.url);
-const pause = (span: number) => new Promise<void>((resolve) => setTimeout(resolve, span));
+const pause = (durationMs: number) => new Promise<void>((resolve) => setTimeout(resolve, durationMs));
 
 const readJson = (text: string): Record<string, unknown> => {
   try {
@@ -68,16 +75,17 @@
 };
 
 const call: PlatformKit['call'] = async (core, method, path, body, headers = {}) => {
-  const answer = await request(`http://${core.http}${path}`, {
+  const response = await request(`http://${core.http}${path}`, {
     method: method as 'GET',
     headers: body === undefined ? headers : { 'content-type': 'application/json', ...headers },
     body: body ?? null,
     headersTimeout: 8000,
   });
-  const text = await answer.body.text();
-  return { status: answer.statusCode, text, body: readJson(text), headers: answer.headers };
+  const text = await response.body.text();
+  return { status: response.statusCode, text, body: readJson(text), headers: response.headers };
 };
 
+/** Starts fleets. */
 export const PlatformKit = {
   zones,
   within,
@@ -98,29 +106,30 @@
       ...more,
     };
   },
-  async waitUntil<T>(look: () => Promise<T | undefined> | T | undefined, what: string): Promise<T> {
-    const began = performance.now();
+  /** Polls until the result is defined; fails after 20 seconds. */
+  async waitUntil<T>(poll: () => Promise<T | undefined> | T | undefined, what: string): Promise<T> {
+    const startedAt = performance.now();
     for (;;) {
-      const found = await look();
+      const found = await poll();
       if (found !== undefined) return found;
-      if (performance.now() - began > within) throw new Error(`in vain: ${what}`);
+      if (performance.now() - startedAt > within) throw new Error(`timed out waiting for: ${what}`);
       await pause(20);
     }
   },
-  async start(terms: { readonly fronts?: readonly string[] } = {}): Promise<PlatformKit> {
+  async start(options: { readonly fronts?: readonly string[] } = {}): Promise<PlatformKit> {
     const folder = mkdtempSync(join(tmpdir(), 'bramblebend-platform-'));
     const list = await ListServer.start();
     const addresses = FleetKit.lay({
       folder,
       deployment: {
         name: 'platform',
-        zones: [{ zone: 'z', region: 'r', fronts: terms.fronts?.length ?? 0 }],
+        zones: [{ zone: 'z', region: 'r', fronts: options.fronts?.length ?? 0 }],
         backEnds: [],
         manifest: {} as never,
         mix: [],
       },
     });
-    const ipOf = (place: string) => place.split(':')[0]!;
+    const ipOf = (address: string) => address.split(':')[0]!;
     const cores: PlatformKit.Core[] = addresses.cores.map((core, index) => {
       const ip = ipOf(core.wire);
       const zone = Object.keys(zones)[index]!;
@@ -137,7 +146,7 @@
       const ip = ipOf(front.wire);
       return {
         node: `edge-${index}`,
-        zone: terms.fronts![index]!,
+        zone: options.fronts![index]!,
         ip,
         listen: `${ip}:${ports.front}`,
         ready: `${ip}:${ports.ready}`,
@@ -196,8 +205,8 @@
       let turn = 0;
       return PlatformKit.waitUntil(async () => {
         const core = cores[turn++ % cores.length]!;
-        const answer = await call(core, 'POST', path, body, headers).catch(() => undefined);
-        return answer && answer.status < 500 ? answer : undefined;
+        const response = await call(core, 'POST', path, body, headers).catch(() => undefined);
+        return response && response.status < 500 ? response : undefined;
       }, path);
     };
     return {
@@ -213,8 +222,8 @@
         let turn = 0;
         return PlatformKit.waitUntil(async () => {
           const core = cores[turn++ % cores.length]!;
-          const answer = await call(core, 'GET', '/configuration/read').catch(() => undefined);
-          return answer?.status === 200 ? answer.text : undefined;
+          const response = await call(core, 'GET', '/configuration/read').catch(() => undefined);
+          return response?.status === 200 ? response.text : undefined;
         }, 'the configuration is read back');
       },
       findPrimary: () =>
@@ -225,21 +234,21 @@
           }
           return undefined;
         }, 'a core leads'),
-      waitForView: (see) =>
+      waitForView: (matches) =>
         new Promise((resolve, reject) => {
-          const late = setTimeout(() => {
+          const timer = setTimeout(() => {
             unwatch();
-            reject(new Error(`the news never showed it; last: ${JSON.stringify(feed.view())}`));
+            reject(new Error(`no matching view was received; last view: ${JSON.stringify(feed.view())}`));
           }, within);
-          const look = (view: View): boolean => {
-            if (!see(view)) return false;
-            clearTimeout(late);
+          const check = (view: View): boolean => {
+            if (!matches(view)) return false;
+            clearTimeout(timer);
             unwatch();
             resolve(view);
             return true;
           };
-          const unwatch = feed.watch((view) => void look(view));
-          look(feed.view());
+          const unwatch = feed.watch((view) => void check(view));
+          check(feed.view());
         }),
       async stop() {
         uplink.stop();
--- a/test/settings-change.test.ts
+++ b/test/settings-change.test.ts
@@ -1,5 +1,7 @@
-// A settings file that changes without a signal: what it says now is in use soon after, however it was written, and
-// one that cannot be used changes nothing.
+/**
+ * A settings file that changes without a signal: new content is used soon afterwards, however it was written, and invalid
+ * content changes nothing.
+ */
 import assert from 'node:assert/strict';
 import { readFileSync, renameSync, statSync, utimesSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -20,7 +22,7 @@
       write(fileOf(core), stringify(settings));
     }
   };
-  const newList = async () => {
+  const startList = async () => {
     const list = await ListServer.start();
     list.instances = [ListServer.instance('i-1', 'sto-a')];
     lists.push(list);
@@ -37,14 +39,14 @@
     await Promise.all(lists.map((list) => list.stop()));
   });
 
-  it('is noticed when it is written over', async () => {
-    const list = await newList();
+  it('is reloaded when it is overwritten', async () => {
+    const list = await startList();
     pointAt(list, writeFileSync);
     await list.polls(2);
   });
 
-  it('is noticed when another file takes its place, with the dates of the one before', async () => {
-    const list = await newList();
+  it('is reloaded when a file with the same timestamps replaces it', async () => {
+    const list = await startList();
     pointAt(list, (file, text) => {
       const { atime, mtime } = statSync(file);
       writeFileSync(`${file}.new`, text);
@@ -54,22 +56,22 @@
     await list.polls(2);
   });
 
-  it('changes nothing when it cannot be used, and is used once it can', async () => {
-    const before = lists.at(-1)!;
-    const kept = new Map(kit.cores.map((core) => [core, readFileSync(fileOf(core), 'utf8')]));
+  it('is ignored while it is invalid, and reloaded once it is valid', async () => {
+    const currentList = lists.at(-1)!;
+    const validTexts = new Map(kit.cores.map((core) => [core, readFileSync(fileOf(core), 'utf8')]));
     for (const core of kit.cores) writeFileSync(fileOf(core), 'node-name: [');
     await Promise.all(
       kit.cores.map((core) =>
         PlatformKit.waitUntil(async () => {
           const log = await kit.call(core, 'GET', '/log');
           return log.text.includes('the settings file cannot be used') ? true : undefined;
-        }, `${core.node} says so`),
+        }, `${core.node} logs the invalid file`),
       ),
     );
-    await before.polls(2);
+    await currentList.polls(2);
     assert.ok(kit.cores.every((core) => core.process?.isUp()));
-    for (const [core, text] of kept) writeFileSync(fileOf(core), text);
-    const list = await newList();
+    for (const [core, text] of validTexts) writeFileSync(fileOf(core), text);
+    const list = await startList();
     pointAt(list, writeFileSync);
     await list.polls(1);
   });
