--- a/src/manifest/document.ts
+++ b/src/manifest/document.ts
@@ -222,7 +222,7 @@
   type Server = Guard.Of<typeof server>;
   type Servers = Guard.Of<typeof servers>;
   type Timeouts = Guard.Required<typeof timeouts>;
-  type Place = Guard.Of<typeof location>;
+  type Location = Guard.Of<typeof location>;
 }
 
 /** The guards of documents. */
--- a/src/upstream/identity.ts
+++ b/src/upstream/identity.ts
@@ -17,7 +17,7 @@
       value,
     );
 
-const readPlace = (identity: Identity, place: Document.Place): unknown =>
+const readPlace = (identity: Identity, place: Document.Location): unknown =>
   place.header !== undefined
     ? identity.headers[place.header]
     : place.pointer !== undefined
