--- a/src/manifest/check.ts
+++ b/src/manifest/check.ts
@@ -123,11 +123,11 @@
     if (wall && !walls) Guard.report(findings, place, 'has no effect without /walls');
     if (!wall || !walls) continue;
     if (wall.by === 'header' && wall.name === undefined)
-      Guard.report(findings, `${place}/name`, 'is missing, but required if by is header');
+      Guard.report(findings, `${place}/name`, 'is missing: the salt needs the name of a header');
     if (wall.by === 'none' && wall.name !== undefined)
-      Guard.report(findings, `${place}/name`, 'has no effect if by is none');
+      Guard.report(findings, `${place}/name`, 'has no effect for servers that do not isolate tenants');
     if (wall.by !== 'none' && wall.for !== undefined)
-      Guard.report(findings, `${place}/for`, 'has no effect unless by is none');
+      Guard.report(findings, `${place}/for`, 'has no effect for servers that isolate tenants');
     if (wall.for !== undefined && ownerOfTeam.has(wall.for))
       Guard.report(findings, `${place}/for`, `belongs to owner ${ownerOfTeam.get(wall.for)}: name the owner`);
     else if (wall.for !== undefined && !isTeam(wall.for) && !Object.hasOwn(walls.owners ?? {}, wall.for))
--- a/src/manifest/compiled.ts
+++ b/src/manifest/compiled.ts
@@ -102,7 +102,7 @@
     readonly homeHeader: string | undefined;
     /** Regions that requests may spill over to from the first one, in this order. */
     readonly spill: readonly Id.Region[];
-    /** How often a request may be forwarded between proxies. */
+    /** How often a request may move on to a further tier: another step or region. */
     readonly hops: number;
     readonly timeouts: Document.Timeouts;
     /** The highest timeouts that a request may ask for. */
--- a/src/manifest/document.ts
+++ b/src/manifest/document.ts
@@ -210,18 +210,22 @@
 
 /** Parts of a manifest, and the server list. */
 export declare namespace Document {
+  /** A server group. */
   type Group = Guard.Of<typeof groupEntry>;
   type Rule = Guard.Of<typeof rule>;
   type Quota = Guard.Of<typeof quota>;
   type Walls = Guard.Of<typeof walls>;
+  /** The document from which the manifest was translated. */
   type Source = Guard.Of<typeof source>;
   type Limits = Guard.Of<typeof limits>;
   type Proof = Guard.Of<typeof proof>;
   type Warmup = Guard.Of<typeof warmup>;
   type Identity = Guard.Of<typeof identity>;
+  /** An entry of the server list. */
   type Server = Guard.Of<typeof server>;
   type Servers = Guard.Of<typeof servers>;
   type Timeouts = Guard.Required<typeof timeouts>;
+  /** Where a value is found in a response. */
   type Location = Guard.Of<typeof location>;
 }
 
