--- a/src/membership/view-sender.ts
+++ b/src/membership/view-sender.ts
@@ -111,7 +111,7 @@
       await link.flushed();
     };
     const sendLocally = () => {
-      link.send({ kind: 'news', view: View.inside(feed.view()), compressed: new Uint8Array() });
+      link.send({ kind: 'news', view: View.encodeInProcess(feed.view()), compressed: new Uint8Array() });
       link.send({ kind: 'ping', age: age() });
     };
     const send = () => {
