--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -6,9 +6,9 @@
 import type { Client } from './client.js';
 import { Diff } from './diff.js';
 import { Import } from './import.js';
+import { Walls } from './isolation-check.js';
 import { Table } from './table.js';
 import { Trace } from './trace.js';
-import { Walls } from './walls.js';
 
 export type Commands = { readonly text: string; readonly notes?: string; readonly code: number };
 
--- a/src/control/adapter.ts
+++ b/src/control/adapter.ts
@@ -8,7 +8,7 @@
 import type { Responses } from './responses.js';
 
 export type Adapter = {
-  readonly operators?: (ways: Adapter.Ways) => Hono;
+  readonly operators?: (ways: Adapter.OperatorContext) => Hono;
   readonly directory?: {
     readonly address: string;
     readonly app: (find: (zone: string) => ReadDirectory.Found) => Hono;
@@ -19,8 +19,8 @@
 
 export declare namespace Adapter {
   type Handle = (context: Context) => Promise<Responses> | Responses;
-  type Ways = {
+  type OperatorContext = {
     readonly office: Office;
-    readonly order: (handle: Handle) => (context: Context) => Promise<Response>;
+    readonly onPrimary: (handle: Handle) => (context: Context) => Promise<Response>;
   };
 }
--- a/src/control/commands/put-manifest.ts
+++ b/src/control/commands/put-manifest.ts
@@ -115,7 +115,7 @@
             findings: changed.findings,
           });
         const { document } = changed;
-        const touched = Rights.touched(newest?.document, document);
+        const touched = Rights.affected(newest?.document, document);
         const denied = Rights.denied(put.by, touched);
         if (denied) return Responses.fail(403, 'not_yours', denied);
         return {
--- a/src/control/commands/renew-list.ts
+++ b/src/control/commands/refresh-server-list.ts
@@ -4,10 +4,10 @@
 import type { Office } from '../office.js';
 import type { Responses } from '../responses.js';
 
-export type RenewList = { readonly servers: readonly Document.Server[] };
+export type RefreshServerList = { readonly servers: readonly Document.Server[] };
 
-export const RenewList = {
-  async run(office: Office, { servers }: RenewList): Promise<Responses> {
+export const RefreshServerList = {
+  async run(office: Office, { servers }: RefreshServerList): Promise<Responses> {
     const at = new Date().toISOString();
     return office.change(
       ({ platform }, stamp) =>
--- a/src/control/directory-http.ts
+++ b/src/control/directory-http.ts
@@ -7,7 +7,7 @@
 export type DirectoryHttp = Server;
 
 export const DirectoryHttp = {
-  of(terms: NonNullable<Adapter['directory']>, needs: ReadDirectory.Needs): DirectoryHttp {
+  of(terms: NonNullable<Adapter['directory']>, needs: ReadDirectory.Dependencies): DirectoryHttp {
     const app = terms.app((zone) => ReadDirectory.find(needs, zone));
     return createAdaptorServer({ fetch: app.fetch, overrideGlobalObjects: false }) as Server;
   },
--- a/src/control/http.ts
+++ b/src/control/http.ts
@@ -11,7 +11,6 @@
 import type { Roll } from '../membership/roll.js';
 import type { Startup } from '../startup/startup.js';
 import type { Adapter } from './adapter.js';
-import { AtPrimary } from './at-primary.js';
 import { Evacuate } from './commands/evacuate.js';
 import { Leave } from './commands/leave.js';
 import { PutManifest } from './commands/put-manifest.js';
@@ -19,6 +18,7 @@
 import { Rollback } from './commands/rollback.js';
 import type { Core } from './core.js';
 import type { Office } from './office.js';
+import { AtPrimary } from './primary-forwarder.js';
 import { ReadDirectory } from './queries/read-directory.js';
 import { ReadEvacuations } from './queries/read-evacuations.js';
 import { ReadManifest } from './queries/read-manifest.js';
@@ -38,10 +38,10 @@
     readonly usage: () => object;
     readonly loads: () => object;
     readonly budget: () => object;
-    readonly ownHttp: () => string;
-    readonly isReached: AtPrimary.Needs['isReached'];
+    readonly ownHttpAddress: () => string;
+    readonly isConnected: AtPrimary.Needs['isReached'];
     readonly operations: Hono;
-    readonly directory: ReadDirectory.Needs;
+    readonly directory: ReadDirectory.Dependencies;
     readonly adapter: Adapter;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   };
@@ -70,8 +70,8 @@
     const atPrimary = AtPrimary.of({
       node,
       core,
-      ownHttp: needs.ownHttp,
-      isReached: needs.isReached,
+      ownHttp: needs.ownHttpAddress,
+      isReached: needs.isConnected,
       note: needs.note,
     });
     /** What this core knows from memory goes out only while a majority confirms that it leads. */
@@ -226,7 +226,7 @@
     );
     const adapted = needs.adapter.operators?.({
       office,
-      order: (handle) => (context) =>
+      onPrimary: (handle) => (context) =>
         core.leading() ? atPrimary.confirmed(context, () => handle(context)) : atPrimary.pass(context),
     });
     if (adapted) app.route('/', adapted);
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -34,7 +34,7 @@
 import { Frame } from '../wire/frame.js';
 import { LinkServer } from '../wire/link-server.js';
 import type { Adapter } from './adapter.js';
-import { RenewList } from './commands/renew-list.js';
+import { RefreshServerList } from './commands/refresh-server-list.js';
 import { Core } from './core.js';
 import { Desk } from './desk.js';
 import { DirectoryHttp } from './directory-http.js';
@@ -269,9 +269,9 @@
       }),
     });
     const office = Office.of({ leading: running.leading, proposer });
-    const directory: ReadDirectory.Needs = {
+    const directory: ReadDirectory.Dependencies = {
       roll,
-      knows: () => Instant.since(began) > knowsAfter,
+      isReady: () => Instant.since(began) > knowsAfter,
       regionOf: (zone) => feed.view().manifest?.document.zones[zone]?.region,
     };
     const controlHttp = ControlHttp.of({
@@ -284,8 +284,8 @@
       loads: () => ({ loads: reports?.loads() ?? [] }),
       budget: () => ({ holder: budget.holder(), pooled: budget.pooled() / 1000 }),
       usage: () => ({ holder: budget.holder(), teams: quotas.usage() }),
-      ownHttp: () => http,
-      isReached: (one) => peers.at(one.wire)?.downFor() === 0,
+      ownHttpAddress: () => http,
+      isConnected: (one) => peers.at(one.wire)?.downFor() === 0,
       operations: ops.app,
       note: ring.info,
     });
@@ -299,7 +299,7 @@
         source: adapter.list,
         isHeld: () => (running.confirmedFor() ?? Number.POSITIVE_INFINITY) < confirmedWithin,
         held: () => store.state().platform.servers,
-        renew: async (servers) => (await RenewList.run(office, { servers })).status === 200,
+        renew: async (servers) => (await RefreshServerList.run(office, { servers })).status === 200,
         note: ring.info,
       });
     const lookout =
--- a/src/control/queries/read-directory.ts
+++ b/src/control/queries/read-directory.ts
@@ -8,9 +8,9 @@
 export declare namespace ReadDirectory {
   type Proxy = { readonly node: string; readonly address: string; readonly zone: string };
   type Found = readonly Proxy[] | undefined;
-  type Needs = {
+  type Dependencies = {
     readonly roll: Roll;
-    readonly knows: () => boolean;
+    readonly isReady: () => boolean;
     readonly regionOf: (zone: string) => string | undefined;
   };
 }
@@ -19,7 +19,7 @@
 const holdsFor = 2000;
 
 export const ReadDirectory = {
-  find({ roll, knows, regionOf }: ReadDirectory.Needs, zone: string): ReadDirectory.Found {
+  find({ roll, isReady: knows, regionOf }: ReadDirectory.Dependencies, zone: string): ReadDirectory.Found {
     if (!knows()) return undefined;
     const ready = roll
       .all()
@@ -30,7 +30,7 @@
     const sameRegion = ready.filter((one) => region !== undefined && regionOf(one.zone) === region);
     return [sameZone, sameRegion, ready].find((some) => some.length > 0);
   },
-  run(needs: ReadDirectory.Needs, { zone }: ReadDirectory): Responses {
+  run(needs: ReadDirectory.Dependencies, { zone }: ReadDirectory): Responses {
     const proxies = ReadDirectory.find(needs, zone);
     return proxies
       ? { status: 200, body: { proxies, ttl: holdsFor } }
--- a/src/control/rights.ts
+++ b/src/control/rights.ts
@@ -29,7 +29,7 @@
 };
 
 export const Rights = {
-  touched(before: Document | undefined, after: Document): Rights {
+  affected(before: Document | undefined, after: Document): Rights {
     const rules = changedRules(before?.rules ?? [], after.rules);
     const teams = new Set([
       ...changedKeys(before?.teams ?? {}, after.teams),
--- a/test/rights-size.test.ts
+++ b/test/rights-size.test.ts
@@ -26,7 +26,7 @@
         teams: {},
         rules: Array.from({ length: count }, (_none, index) => rule(index, index === 7 ? changed : 'same')),
       }) as unknown as Document;
-    const touched = Rights.touched(documentOf('before'), documentOf('after'));
+    const touched = Rights.affected(documentOf('before'), documentOf('after'));
     assert.deepEqual(touched, { teams: ['team-7'], others: [] });
     assert.ok(reads <= 16 * count, `${reads} reads of ${count} rules`);
   });
--- a/test/rights.test.ts
+++ b/test/rights.test.ts
@@ -12,7 +12,7 @@
 const foreign = { ...rule, name: 'foreign', teams: ['others'] } as unknown as Document.Rule;
 const person = { name: 'nurse', teams: ['testers'] };
 const denied = (after: Document, before: Document = manifest) =>
-  Rights.denied(person, Rights.touched(before, after));
+  Rights.denied(person, Rights.affected(before, after));
 
 const unused = () => Promise.reject(new Error('the state was asked for'));
 
@@ -42,7 +42,7 @@
     assert.equal(
       Rights.denied(
         { name: 'chief', teams: undefined },
-        Rights.touched(manifest, { ...manifest, homes: {} }),
+        Rights.affected(manifest, { ...manifest, homes: {} }),
       ),
       undefined,
     );
--- a/tools/scale/parts.ts
+++ b/tools/scale/parts.ts
@@ -66,7 +66,7 @@
     oneTeamBytes: teamBytes.sort((a, b) => a - b)[Math.floor(teamBytes.length / 2)],
     ranges: held.size,
     check: median(() => Check.manifest(document)),
-    rights: median(() => Rights.touched(before.manifest!.document, document)),
+    rights: median(() => Rights.affected(before.manifest!.document, document)),
     apply: median(() => State.apply(state, { ...change, stamp: Stamp.of(1, 2) })),
     encode: median(() => View.encode(after)),
     decode: median(() => View.decode(View.encode(after))),
--- a/tools/simulation/program.ts
+++ b/tools/simulation/program.ts
@@ -32,7 +32,7 @@
   start(startup: Startup['control'], ring: LogBuffer): Promise<Running> {
     Ticker.clear();
     return Control.start(startup, ring, {
-      operators({ office, order }) {
+      operators({ office, onPrimary: order }) {
         const app = new Hono();
         app.put(
           '/numbered',
