--- a/src/control/commands/evacuate.ts
+++ b/src/control/commands/evacuate.ts
@@ -1,21 +1,31 @@
-// Evacuate a zone or take it back: a change of the newest manifest's evacuations alone, as safe as a manifest
-// and kept by those that follow.
+/**
+ * Evacuates a zone or ends its evacuation. Only the evacuations of the newest manifest change. The change is as durable as a
+ * manifest, and manifests that follow keep it.
+ */
+
 import type { Id } from '../../common/id.js';
 import { State } from '../../store/state.js';
 import type { Office } from '../office.js';
 import { Responses } from '../responses.js';
 import { Rights } from '../rights.js';
 
+/** A request to evacuate a zone or to end its evacuation. */
 export type Evacuate = {
   readonly zone: string;
   readonly isEvacuated: boolean;
   readonly by?: Rights.Person;
 };
 
-const anOperator: Rights.Person = { name: 'operator', teams: undefined };
+/** Used where the installation's own API has authorized the request. */
+const unrestrictedOperator: Rights.Person = { name: 'operator', teams: undefined };
 
+/** The command that changes evacuations. */
 export const Evacuate = {
-  async run(office: Office, { zone, isEvacuated, by: person = anOperator }: Evacuate): Promise<Responses> {
+  /** Makes the change, or answers why it was refused; repeating it changes nothing. */
+  async run(
+    office: Office,
+    { zone, isEvacuated, by: person = unrestrictedOperator }: Evacuate,
+  ): Promise<Responses> {
     const by = person.name;
     const denied = Rights.denied(person, { teams: [], others: ['evacuations'] });
     if (denied) return Responses.fail(403, 'not_yours', denied);
@@ -25,7 +35,7 @@
       (state, stamp) => {
         const document = State.newest(state)?.document;
         if (!office.isSettled() || !document)
-          return Responses.unconfirmed('unconfirmed', 'no manifest is known to be in place yet', 'no');
+          return Responses.unconfirmed('unconfirmed', 'no manifest is known to be in force yet', 'no');
         if (!Object.hasOwn(document.zones, zone))
           return Responses.fail(
             404,
--- a/src/control/commands/put-manifest.ts
+++ b/src/control/commands/put-manifest.ts
@@ -1,7 +1,10 @@
-// Replace the manifest whole. If-Match names the revision it replaces; of two that name the same only
-// one is taken. A repeated PUT gets its first answer again: it is known by its idempotency key, or without one by
-// the revision that it replaces and its content. One with a key that may have been taken without a record of it is
-// left without a clear answer.
+/**
+ * Replaces the whole manifest. If-Match names the revision to replace; of two requests that name the same revision only one is
+ * taken. A repeated PUT gets its first response again: it is identified by its idempotency key or, without one, by the revision
+ * that it replaces and its content. A request with a key that may have been taken without a record gets a response that leaves
+ * open whether it was.
+ */
+
 import { createHash, randomBytes } from 'node:crypto';
 import type { Revision } from '../../common/revision.js';
 import { Check } from '../../manifest/check.js';
@@ -12,14 +15,15 @@
 import { Responses } from '../responses.js';
 import { Rights } from '../rights.js';
 
-/** An order to replace the manifest. */
+/** A request to replace the manifest. */
 export type PutManifest = {
   readonly body: unknown;
   readonly ifMatch: Revision | undefined;
   readonly key: string | undefined;
   readonly by: Rights.Person;
+  /** Whether a key file is configured, so that stored records are encrypted. */
   readonly isSealed: boolean;
-  /** The digest of the request where the body is not as it came. */
+  /** Digest of the original request, if the body was derived from it. */
   readonly digest?: string;
 };
 
@@ -27,43 +31,47 @@
 
 const withoutKeyFile = {
   place: '/walls',
-  text: 'needs key_file in the startup of the control nodes: its secret is not kept in plain',
+  text: 'needs key_file in the startup of the control nodes: its secret is not stored unencrypted',
 };
 
-const taken = (revision: Revision): Responses => ({
+const takenResponse = (revision: Revision): Responses => ({
   status: 200,
   body: { revision },
   headers: { etag: `"${revision}"` },
 });
 
-/** Older documents are read one by one, and only when they are asked for. */
-const keptDocuments = ({ manifests }: State): WallChange.Kept => ({
+/** Gives access to retained manifests; each is decoded only when it is read. */
+const retainedDocuments = ({ manifests }: State): WallChange.Kept => ({
   at: (index) => manifests.at(index)?.document,
   some: (is) => manifests.some(({ document }) => is(document)),
 });
 
-/** A header's value never begins with a space, so that no idempotency key is taken for it. */
-const keyOf = (put: PutManifest.Named): string => put.key ?? ` if-match ${put.ifMatch}`;
+/** The key of the recorded answer. A header's value never begins with a space, so no idempotency key equals a generated one. */
+const keyOf = (put: PutManifest.Identity): string => put.key ?? ` if-match ${put.ifMatch}`;
 
-/** The answer to an order that was taken before, whatever has come since. */
-const knownAnswer = (orders: Orders, put: PutManifest.Named, digest: string): Responses | undefined => {
+/** The recorded response to a request that was taken before, also if newer manifests followed. */
+const recordedResponse = (
+  orders: Orders,
+  put: PutManifest.Identity,
+  digest: string,
+): Responses | undefined => {
   const known = Orders.answered(orders, keyOf(put), digest);
   if (!known) return undefined;
-  if (known.isSame) return taken(known.revision);
+  if (known.isSame) return takenResponse(known.revision);
   return put.key === undefined
     ? undefined
-    : Responses.fail(409, 'key_reused', 'the idempotency key came with another manifest before');
+    : Responses.fail(409, 'key_reused', 'the idempotency key was used for another manifest');
 };
 
 /**
- * The answer in place of a refusal, to an order that may have been taken without a record. It wants a key: without
- * one a refusal must tell the many who hold an old revision that another is current.
+ * The response that replaces a refusal if the request may have been taken without a record. It requires an idempotency key:
+ * without one, the many clients that hold an old revision must be told which revision is current.
  */
-const unclearAnswer = (orders: Orders, put: PutManifest.Named): Responses | undefined =>
+const uncertainResponse = (orders: Orders, put: PutManifest.Identity): Responses | undefined =>
   put.key !== undefined && put.ifMatch !== undefined && Orders.mayBeMissing(orders, put.ifMatch)
     ? Responses.unconfirmed(
         'unconfirmed',
-        `an order on revision ${put.ifMatch} may have been taken before the record of orders begins`,
+        `a request on revision ${put.ifMatch} may have been taken before the record of requests begins`,
         'unknown',
       )
     : undefined;
@@ -72,51 +80,56 @@
   createHash('sha256').update(JSON.stringify(request)).digest('hex');
 
 export declare namespace PutManifest {
-  /** How an order is known when it is sent again. */
-  type Named = Pick<PutManifest, 'ifMatch' | 'key'>;
+  /** What identifies a request that is sent again. */
+  type Identity = Pick<PutManifest, 'ifMatch' | 'key'>;
 }
 
+/** The command that replaces the manifest. */
 export const PutManifest = {
   digestOf,
-  knownAnswer,
-  unclearAnswer,
-  /** Takes the manifest, or says why not. */
+  recordedResponse,
+  uncertainResponse,
+  /** Takes the manifest, or answers why it was refused. */
   async run(office: Office, put: PutManifest): Promise<Responses> {
     const checked = Check.manifest(put.body);
     if (checked.kind === 'bad')
-      return Responses.fail(422, 'invalid_manifest', 'the manifest was not taken', {
+      return Responses.fail(422, 'invalid_manifest', 'the manifest is invalid', {
         findings: checked.findings,
       });
     if (put.ifMatch === undefined)
-      return Responses.fail(428, 'if_match_missing', 'If-Match must name the revision that is replaced');
-    const asked = checked.document;
-    if (asked.walls && !put.isSealed)
-      return Responses.fail(422, 'invalid_manifest', 'the manifest was not taken', {
+      return Responses.fail(428, 'if_match_missing', 'If-Match must name the revision to replace');
+    const requested = checked.document;
+    if (requested.walls && !put.isSealed)
+      return Responses.fail(422, 'invalid_manifest', 'the manifest is invalid', {
         findings: [withoutKeyFile],
       });
-    const digest = put.digest ?? digestOf(asked);
+    const digest = put.digest ?? digestOf(requested);
     const at = new Date().toISOString();
     return office.change(
       (state, stamp) => {
-        const known = knownAnswer(state, put, digest);
+        const known = recordedResponse(state, put, digest);
         if (known) return known;
         const newest = State.newest(state);
         const current = newest?.revision ?? 0;
         if (put.ifMatch !== 0 && !office.isSettled())
-          return Responses.unconfirmed('unconfirmed', 'the cores formed anew and ask the nodes', 'no');
+          return Responses.unconfirmed(
+            'unconfirmed',
+            'the cores were formed again and are recovering the state from the nodes',
+            'no',
+          );
         if (current !== put.ifMatch && (put.ifMatch !== 0 || office.isSettled()))
           return (
-            unclearAnswer(state, put) ??
+            uncertainResponse(state, put) ??
             Responses.fail(412, 'stale', `the manifest is at revision ${current}`, { revision: current })
           );
-        const changed = WallChange.of(keptDocuments(state), asked, makeSecret);
+        const changed = WallChange.of(retainedDocuments(state), requested, makeSecret);
         if (changed.kind === 'bad')
-          return Responses.fail(422, 'invalid_manifest', 'the manifest was not taken', {
+          return Responses.fail(422, 'invalid_manifest', 'the manifest is invalid', {
             findings: changed.findings,
           });
         const { document } = changed;
-        const touched = Rights.affected(newest?.document, document);
-        const denied = Rights.denied(put.by, touched);
+        const affected = Rights.affected(newest?.document, document);
+        const denied = Rights.denied(put.by, affected);
         if (denied) return Responses.fail(403, 'not_yours', denied);
         return {
           kind: 'manifest',
@@ -125,12 +138,12 @@
           by: put.by.name,
           at,
           what: [document.note ?? 'manifest put', ...(changed.what === '' ? [] : [changed.what])].join('; '),
-          teams: touched.teams,
+          teams: affected.teams,
           answer: { key: keyOf(put), digest },
           ...(office.isSettled() ? {} : { isUnsettled: true as const }),
         };
       },
-      (_state, change) => taken(change.stamp.revision),
+      (_state, change) => takenResponse(change.stamp.revision),
     );
   },
 };
--- a/src/control/commands/put-numbered.ts
+++ b/src/control/commands/put-numbered.ts
@@ -1,7 +1,10 @@
-// Replace the manifest under the operator's own number, which rises with each. The base names the number it
-// replaces; of two on the same base only one is taken. The same number with the same digest, when it was
-// taken before, is answered as taken, also after newer ones; one that may have been taken without a record of it
-// is left without a clear answer. Evacuations stand: they have their own order.
+/**
+ * Replaces the manifest under the operator's own number, which increases with each manifest. The base is the number to
+ * replace; of two requests on the same base only one is taken. A request that was taken before, with the same number and digest,
+ * is answered as taken, also after newer ones. One that may have been taken without a record gets a response that leaves open
+ * whether it was. Evacuations are kept, since they are changed by a command of their own.
+ */
+
 import { Check } from '../../manifest/check.js';
 import type { Document } from '../../manifest/document.js';
 import { Orders } from '../../store/orders.js';
@@ -9,27 +12,29 @@
 import type { Office } from '../office.js';
 import { Responses } from '../responses.js';
 
-/** An order to replace the manifest that has the number `base`. */
+/** A request to replace the manifest that has the number `base`. */
 export type PutNumbered = {
   readonly base: number;
   readonly document: Document & { readonly source: Document.Source };
 };
 
+/** The author that the audit log names. */
 const by = 'operator';
 
+/** The command that replaces the manifest under a number. */
 export const PutNumbered = {
-  /** Takes the manifest, or says why not. */
+  /** Takes the manifest, or answers why it was refused. */
   async run(office: Office, { base, document }: PutNumbered): Promise<Responses> {
     const checked = Check.manifest(document);
     if (checked.kind === 'bad')
-      return Responses.fail(400, 'invalid_manifest', 'the manifest was not taken', {
+      return Responses.fail(400, 'invalid_manifest', 'the manifest is invalid', {
         findings: checked.findings,
       });
     const { number, digest } = document.source;
     const key = `number ${number}`;
-    const mayBeTaken = Responses.unconfirmed(
+    const uncertain = Responses.unconfirmed(
       'unconfirmed',
-      `number ${number} may have been taken before the record of orders begins`,
+      `number ${number} may have been taken before the record of requests begins`,
       'unknown',
     );
     const taken: Responses = { status: 200, body: { number } };
@@ -37,16 +42,20 @@
     return office.change(
       (state, stamp) => {
         if (!office.isSettled())
-          return Responses.unconfirmed('unconfirmed', 'the cores formed anew and ask the nodes', 'no');
+          return Responses.unconfirmed(
+            'unconfirmed',
+            'the cores were formed again and are recovering the state from the nodes',
+            'no',
+          );
         const newest = State.newest(state)?.document;
         const current = newest?.source?.number ?? 0;
         const known = Orders.numbered(state, number, digest);
         const isTaken = known === 'taken';
         if (isTaken) return taken;
         const isRefused = base !== current || number <= current;
-        if (isRefused && known === 'missing') return mayBeTaken;
+        if (isRefused && known === 'missing') return uncertain;
         if (base !== current)
-          return Responses.fail(412, 'stale', `number ${current} is in place`, { number: current });
+          return Responses.fail(412, 'stale', `the manifest has number ${current}`, { number: current });
         if (number <= current)
           return Responses.fail(400, 'number_not_above', `the number must be above ${current}`, {
             findings: [{ place: '/source/number', text: `must be above ${current}` }],
--- a/src/control/commands/put-servers.ts
+++ b/src/control/commands/put-servers.ts
@@ -1,17 +1,23 @@
-// The platform's whole server list, with the platform's own serial: a list that is not newer than the
-// one held is dropped, and the same one again is answered as before.
+/**
+ * Replaces the platform's list of servers. The platform numbers its lists: one with a lower serial than the stored list is
+ * refused, and so is one with the same serial and other content. The stored list sent again gets the same response.
+ */
+
 import { isDeepStrictEqual } from 'node:util';
 import { Check } from '../../manifest/check.js';
 import type { Office } from '../office.js';
 import { Responses } from '../responses.js';
 
+/** The list as received. */
 export type PutServers = { readonly body: unknown };
 
+/** The command that replaces the list of servers. */
 export const PutServers = {
+  /** Takes the list, or answers why it was refused. */
   async run(office: Office, { body }: PutServers): Promise<Responses> {
     const checked = Check.servers(body);
     if (!('serial' in checked))
-      return Responses.fail(422, 'invalid_servers', 'the list was not taken', { findings: checked });
+      return Responses.fail(422, 'invalid_servers', 'the list is invalid', { findings: checked });
     const { serial, servers } = checked;
     const at = new Date().toISOString();
     return office.change(
--- a/src/control/commands/refresh-server-list.ts
+++ b/src/control/commands/refresh-server-list.ts
@@ -1,12 +1,16 @@
-// Take the list of servers as polled, under the next serial. Nothing is written when it is the one held.
+/** Stores the list of servers as polled, under the next serial. Nothing is written if it equals the stored list. */
+
 import { isDeepStrictEqual } from 'node:util';
 import type { Document } from '../../manifest/document.js';
 import type { Office } from '../office.js';
 import type { Responses } from '../responses.js';
 
+/** The list as polled. */
 export type RefreshServerList = { readonly servers: readonly Document.Server[] };
 
+/** The command that stores a polled list of servers. */
 export const RefreshServerList = {
+  /** Stores the list if it differs from the stored one. */
   async run(office: Office, { servers }: RefreshServerList): Promise<Responses> {
     const at = new Date().toISOString();
     return office.change(
--- a/src/control/commands/rollback.ts
+++ b/src/control/commands/rollback.ts
@@ -1,5 +1,8 @@
-// Take back a kept manifest as a new revision. Walls are never taken back: those in force stay. A rollback that is
-// sent again is known by what was asked, also when the manifest it went back to is no longer kept.
+/**
+ * Restores a retained manifest as a new revision. The walls are not rolled back: those in force stay. A repeated rollback is
+ * identified by its request, also if the manifest that it restored is no longer retained.
+ */
+
 import { Guard } from '../../common/guard.js';
 import { Revision } from '../../common/revision.js';
 import { State } from '../../store/state.js';
@@ -7,24 +10,25 @@
 import { Responses } from '../responses.js';
 import { PutManifest } from './put-manifest.js';
 
-/** An order to take a kept manifest back. */
+/** A request to restore a retained manifest. */
 export type Rollback = Omit<PutManifest, 'body'> & { readonly body: unknown };
 
-const form = Guard.strictObject({ revision: Guard.integer({ min: 1 }) });
+const bodyGuard = Guard.strictObject({ revision: Guard.integer({ min: 1 }) });
 
+/** The command that restores a retained manifest. */
 export const Rollback = {
-  /** Puts the manifest of the revision asked for as a new one. */
+  /** Puts the manifest of the requested revision as a new revision. */
   async run(office: Office, rollback: Rollback): Promise<Responses> {
     const findings: Guard.Finding[] = [];
-    if (!form(rollback.body, '', findings))
-      return Responses.fail(422, 'invalid_rollback', 'nothing was changed', { findings });
+    if (!bodyGuard(rollback.body, '', findings))
+      return Responses.fail(422, 'invalid_rollback', 'the rollback request is invalid', { findings });
     const wanted = Revision.of(rollback.body.revision);
     const state = await office.confirm();
     const digest = PutManifest.digestOf({ rollback: wanted });
-    const refuse = (held: State): Responses =>
-      PutManifest.knownAnswer(held, rollback, digest) ??
-      PutManifest.unclearAnswer(held, rollback) ??
-      Responses.fail(404, 'not_kept', `the manifest of revision ${wanted} is not kept`);
+    const refuse = (current: State): Responses =>
+      PutManifest.recordedResponse(current, rollback, digest) ??
+      PutManifest.uncertainResponse(current, rollback) ??
+      Responses.fail(404, 'not_kept', `the manifest of revision ${wanted} is not retained`);
     const kept = state.manifests.find((one) => one.revision === wanted);
     if (!kept) return office.change(refuse, refuse);
     const walls = State.newest(state)?.document.walls ?? kept.document.walls;
--- a/src/control/directory-http.ts
+++ b/src/control/directory-http.ts
@@ -1,14 +1,18 @@
-// The directory at an address of its own, in the words of the installation that asks for it.
+/** The directory of proxies at an address of its own, in the protocol of the installation. */
+
 import type { Server } from 'node:http';
 import { createAdaptorServer } from '@hono/node-server';
 import type { Adapter } from './adapter.js';
 import { ReadDirectory } from './queries/read-directory.js';
 
+/** The HTTP server of the directory. */
 export type DirectoryHttp = Server;
 
+/** Builds the HTTP server of the directory. */
 export const DirectoryHttp = {
-  of(terms: NonNullable<Adapter['directory']>, needs: ReadDirectory.Dependencies): DirectoryHttp {
-    const app = terms.app((zone) => ReadDirectory.find(needs, zone));
+  /** Builds the server from the paths that the installation defines. */
+  of(directory: NonNullable<Adapter['directory']>, needs: ReadDirectory.Dependencies): DirectoryHttp {
+    const app = directory.app((zone) => ReadDirectory.find(needs, zone));
     return createAdaptorServer({ fetch: app.fetch, overrideGlobalObjects: false }) as Server;
   },
 };
--- a/src/control/http.ts
+++ b/src/control/http.ts
@@ -1,5 +1,7 @@
-// The control plane's HTTP interface, for operators and for the platform. Any core takes a call; one
-// that does not lead passes it to the primary, once. Nothing else is ever passed on.
+/**
+ * HTTP API of the control plane, for operators and the platform. Any core accepts a request; a core that is not the primary
+ * forwards it to the primary, once at most. Nothing else is forwarded.
+ */
 
 import { createHash, timingSafeEqual } from 'node:crypto';
 import type { Server } from 'node:http';
@@ -18,7 +20,7 @@
 import { Rollback } from './commands/rollback.js';
 import type { Core } from './core.js';
 import type { Office } from './office.js';
-import { AtPrimary } from './primary-forwarder.js';
+import { PrimaryForwarder } from './primary-forwarder.js';
 import { ReadDirectory } from './queries/read-directory.js';
 import { ReadEvacuations } from './queries/read-evacuations.js';
 import { ReadManifest } from './queries/read-manifest.js';
@@ -27,10 +29,12 @@
 import { Responses } from './responses.js';
 import type { Rights } from './rights.js';
 
+/** The HTTP server of the control API and a function that closes the connections to the primary. */
 export type ControlHttp = { readonly server: Server; readonly close: () => void };
 
 export declare namespace ControlHttp {
-  type Needs = {
+  /** The parts of the node that the API reads and changes. */
+  type Dependencies = {
     readonly startup: Startup['control'];
     readonly office: Office;
     readonly core: Core;
@@ -39,7 +43,7 @@
     readonly loads: () => object;
     readonly budget: () => object;
     readonly ownHttpAddress: () => string;
-    readonly isConnected: AtPrimary.Needs['isReached'];
+    readonly isConnected: PrimaryForwarder.Dependencies['isConnected'];
     readonly operations: Hono;
     readonly directory: ReadDirectory.Dependencies;
     readonly adapter: Adapter;
@@ -50,80 +54,86 @@
 type Env = { Variables: { person: Rights.Person; body: unknown } };
 type Handle = (context: Context<Env>) => Promise<Responses> | Responses;
 
-const losing = 'what only the missing core holds';
-const longestBody = 16 * 1024 * 1024;
+/** Text that a request to form the cores by force must repeat, since it loses state. */
+const forceConfirmation = 'what only the missing core holds';
+const maxBodyBytes = 16 * 1024 * 1024;
 
-const isSame = (a: string, b: string): boolean => {
+/** Compares digests in constant time, so that response times reveal nothing about a token. */
+const isSameToken = (a: string, b: string): boolean => {
   const digest = (text: string) => createHash('sha256').update(text).digest();
   return timingSafeEqual(digest(a), digest(b));
 };
 
-const readTag = (text: string | undefined): Revision | undefined =>
+/** The revision that an entity tag names, weak or strong. */
+const parseTag = (text: string | undefined): Revision | undefined =>
   text === undefined ? undefined : Revision.parse(text.replace(/^W\//, '').replace(/^"(.*)"$/, '$1'));
 
+/** Builds the HTTP server of the control API. */
 export const ControlHttp = {
-  of(needs: ControlHttp.Needs): ControlHttp {
+  /** Builds the server with all its routes. */
+  of(needs: ControlHttp.Dependencies): ControlHttp {
     const { startup, office, core, roll } = needs;
     const app = new Hono<Env>();
-    const { give } = AtPrimary;
+    const { toResponse } = PrimaryForwarder;
     const { node } = startup;
-    const atPrimary = AtPrimary.of({
+    const forwarder = PrimaryForwarder.of({
       node,
       core,
-      ownHttp: needs.ownHttpAddress,
-      isReached: needs.isConnected,
+      ownHttpAddress: needs.ownHttpAddress,
+      isConnected: needs.isConnected,
       note: needs.note,
     });
-    /** What this core knows from memory goes out only while a majority confirms that it leads. */
-    const ofPrimary = (tell: () => object) => async (): Promise<Responses> => {
+    /** Answers with data that only the primary holds, after a majority has confirmed that this core leads. */
+    const readConfirmed = (read: () => object) => async (): Promise<Responses> => {
       await office.confirm();
-      return { status: 200, body: tell() };
+      return { status: 200, body: read() };
     };
     app.route('/', needs.operations);
 
+    /** Authenticates a request, then runs it here if it is local or this core leads, else forwards it. */
     const serve =
       (
-        people: readonly { name: string; token: string; teams?: readonly string[]; secrets?: boolean }[],
+        clients: readonly { name: string; token: string; teams?: readonly string[]; secrets?: boolean }[],
         handle: Handle,
         isLocal = false,
       ) =>
       async (context: Context<Env>): Promise<Response> => {
         const token = /^Bearer +(\S+)$/i.exec(context.req.header('authorization') ?? '')?.[1] ?? '';
-        const person = people.find((one) => isSame(one.token, token));
+        const person = clients.find((one) => isSameToken(one.token, token));
         if (!person)
-          return give(context, Responses.fail(401, 'bad_token', 'the token is missing or unknown'));
+          return toResponse(context, Responses.fail(401, 'bad_token', 'the token is missing or unknown'));
         context.set('person', {
           name: person.name,
           teams: person.teams,
           maySeeSecrets: person.secrets === true,
         });
-        if (!isLocal && !core.leading()) return atPrimary.pass(context);
+        if (!isLocal && !core.leading()) return forwarder.forward(context);
         if (context.req.method !== 'GET') {
           try {
             context.set('body', await context.req.json());
           } catch {
-            return give(context, Responses.fail(400, 'bad_json', 'the body is no JSON'));
+            return toResponse(context, Responses.fail(400, 'bad_json', 'the body is not valid JSON'));
           }
         }
-        return atPrimary.confirmed(context, () => handle(context));
+        return forwarder.respond(context, () => handle(context));
       };
     const { operators, platform } = startup;
-    const either = [...operators, ...platform];
-    const putOf = (context: Context<Env>) => ({
+    const operatorsAndPlatform = [...operators, ...platform];
+    const readPutRequest = (context: Context<Env>) => ({
       body: context.var.body,
-      ifMatch: readTag(context.req.header('if-match')),
+      ifMatch: parseTag(context.req.header('if-match')),
       key: context.req.header('idempotency-key'),
       by: context.var.person,
       isSealed: startup.key_file !== undefined,
     });
-    const tooLong = (context: Context) =>
+    const refuseTooLong = (context: Context) =>
       context.json(Responses.fail(413, 'body_too_long', 'the body is too long').body, 413);
-    const limitRead = bodyLimit({ maxSize: longestBody, onError: tooLong });
-    // A body that states its length is judged by that; the library would make a whole fetch request of it first.
+    const limitWhileReading = bodyLimit({ maxSize: maxBodyBytes, onError: refuseTooLong });
+    // A stated length is checked without reading the body; the library's limit first builds a complete fetch request.
     app.use((context, next) => {
-      if (context.req.header('transfer-encoding') !== undefined) return limitRead(context, next);
+      if (context.req.header('transfer-encoding') !== undefined) return limitWhileReading(context, next);
       const length = Number.parseInt(context.req.header('content-length') ?? '0', 10);
-      return length > longestBody ? Promise.resolve(tooLong(context)) : next();
+      return length > maxBodyBytes ? Promise.resolve(refuseTooLong(context)) : next();
     });
     app.get(
       '/v1/manifest',
@@ -131,7 +141,7 @@
     );
     app.put(
       '/v1/manifest',
-      serve(operators, (context) => PutManifest.run(office, putOf(context))),
+      serve(operators, (context) => PutManifest.run(office, readPutRequest(context))),
     );
     app.post(
       '/v1/manifest/check',
@@ -149,7 +159,7 @@
     );
     app.post(
       '/v1/manifest/rollback',
-      serve(operators, (context) => Rollback.run(office, putOf(context))),
+      serve(operators, (context) => Rollback.run(office, readPutRequest(context))),
     );
     app.get(
       '/v1/manifest/:revision',
@@ -174,8 +184,8 @@
         operators,
         async (context) => {
           const { lose } = (context.var.body ?? {}) as { lose?: unknown };
-          if (lose !== losing)
-            return Responses.fail(422, 'not_confirmed', `the body must read {"lose":"${losing}"}`);
+          if (lose !== forceConfirmation)
+            return Responses.fail(422, 'not_confirmed', `the body must read {"lose":"${forceConfirmation}"}`);
           const why = await core.force();
           return why === ''
             ? { status: 200, body: { formed: true } }
@@ -188,9 +198,9 @@
       '/v1/audit',
       serve(operators, () => ReadServers.run(office, { kind: 'audit' })),
     );
-    app.get('/v1/usage', serve(operators, ofPrimary(needs.usage)));
-    app.get('/v1/loads', serve(either, ofPrimary(needs.loads)));
-    app.get('/v1/budget', serve(operators, ofPrimary(needs.budget)));
+    app.get('/v1/usage', serve(operators, readConfirmed(needs.usage)));
+    app.get('/v1/loads', serve(operatorsAndPlatform, readConfirmed(needs.loads)));
+    app.get('/v1/budget', serve(operators, readConfirmed(needs.budget)));
     app.get(
       '/v1/evacuations',
       serve(operators, () => ReadEvacuations.run(office)),
@@ -211,7 +221,7 @@
       );
     app.get(
       '/v1/servers',
-      serve(either, () => ReadServers.run(office, { kind: 'servers' })),
+      serve(operatorsAndPlatform, () => ReadServers.run(office, { kind: 'servers' })),
     );
     app.put(
       '/v1/servers',
@@ -222,22 +232,22 @@
       serve(platform, (context) => Leave.run(office, { body: context.var.body })),
     );
     app.get('/v1/directory', (context) =>
-      give(context, ReadDirectory.run(needs.directory, { zone: context.req.query('zone') ?? '' })),
+      toResponse(context, ReadDirectory.run(needs.directory, { zone: context.req.query('zone') ?? '' })),
     );
-    const adapted = needs.adapter.operators?.({
+    const operatorPaths = needs.adapter.operators?.({
       office,
       onPrimary: (handle) => (context) =>
-        core.leading() ? atPrimary.confirmed(context, () => handle(context)) : atPrimary.pass(context),
+        core.leading() ? forwarder.respond(context, () => handle(context)) : forwarder.forward(context),
     });
-    if (adapted) app.route('/', adapted);
+    if (operatorPaths) app.route('/', operatorPaths);
     app.notFound((context) =>
-      give(context as Context<Env>, Responses.fail(404, 'no_path', 'there is nothing here')),
+      toResponse(context as Context<Env>, Responses.fail(404, 'no_path', 'no such path or method')),
     );
     const server = createAdaptorServer({
       fetch: app.fetch,
       overrideGlobalObjects: false,
       serverOptions: { headersTimeout: 10_000, requestTimeout: 30_000, connectionsCheckingInterval: 2000 },
     }) as Server;
-    return { server, close: atPrimary.close };
+    return { server, close: forwarder.close };
   },
 };
--- a/src/control/queries/read-evacuations.ts
+++ b/src/control/queries/read-evacuations.ts
@@ -1,11 +1,15 @@
-// The zones of the manifest in force, and which of them get nothing new.
+/** The zones of the manifest in force and which of them are evacuated, so that they receive no new requests. */
+
 import { State } from '../../store/state.js';
 import type { Office } from '../office.js';
 import type { Responses } from '../responses.js';
 
+/** A zone and whether it is evacuated. */
 export type ReadEvacuations = { readonly zone: string; readonly region: string; readonly evacuated: boolean };
 
+/** The query for zones and evacuations. */
 export const ReadEvacuations = {
+  /** Answers with all zones of the manifest. */
   async run(office: Office): Promise<Responses> {
     const document = State.newest(await office.confirm())?.document;
     const zones: ReadEvacuations[] = Object.entries(document?.zones ?? {}).map(([zone, { region }]) => ({
--- a/src/control/queries/read-manifest.ts
+++ b/src/control/queries/read-manifest.ts
@@ -1,6 +1,8 @@
-// The manifest in force, or a kept one by its revision. Both are answered only after a majority has
-// confirmed the epoch, so the newest acknowledged one is what is read. The secret of the walls is left out for
-// all who have no right to it.
+/**
+ * The manifest in force, or a retained one by its revision. The response is sent only after a majority has confirmed the epoch,
+ * so it reflects the newest acknowledged manifest. The secret of the walls is left out unless the reader may see secrets.
+ */
+
 import { Revision } from '../../common/revision.js';
 import type { Document } from '../../manifest/document.js';
 import { State } from '../../store/state.js';
@@ -8,6 +10,7 @@
 import { Responses } from '../responses.js';
 import type { Rights } from '../rights.js';
 
+/** The revision to read, the newest by default, and who reads it. */
 export type ReadManifest = { readonly revision?: string; readonly by: Rights.Person };
 
 const withoutSecret = (document: Document): Document => {
@@ -16,14 +19,16 @@
   return { ...document, walls };
 };
 
+/** The query for a manifest. */
 export const ReadManifest = {
+  /** Answers with the manifest, or 404 with the revisions that are retained. */
   async run(office: Office, query: ReadManifest): Promise<Responses> {
     const state = await office.confirm();
-    const wanted = query.revision === undefined ? undefined : Revision.parse(query.revision);
+    const requested = query.revision === undefined ? undefined : Revision.parse(query.revision);
     const found =
       query.revision === undefined
         ? State.newest(state)
-        : state.manifests.find((one) => one.revision === wanted);
+        : state.manifests.find((one) => one.revision === requested);
     if (!found)
       return {
         ...Responses.fail(404, 'no_manifest', 'there is no such manifest', {
--- a/src/control/queries/read-status.ts
+++ b/src/control/queries/read-status.ts
@@ -1,4 +1,4 @@
-// Which nodes are members, and which revision is in force at each.
+/** The members of the fleet, and the revision that is in force at each of them. */
 
 import { Stamp } from '../../common/stamp.js';
 import { Term } from '../../epoch/term.js';
@@ -10,9 +10,10 @@
 import type { Office } from '../office.js';
 import type { Responses } from '../responses.js';
 
+/** What the status is read from, beside the stored state. */
 export type ReadStatus = { readonly roll: Roll; readonly core: Core };
 
-const describe = ({ node, program, zone, stamp, http, wire, ops, via, age, ready }: Frame.Entry) => ({
+const describeNode = ({ node, program, zone, stamp, http, wire, ops, via, age, ready }: Frame.Entry) => ({
   node,
   program,
   zone,
@@ -25,22 +26,23 @@
   age: Math.round(age),
 });
 
-/** How far each other core has followed; `behind` counts changes, and is null while the core has not told. */
+/** How far replication to each other core has come. `behind` counts changes; it is null until the core has reported. */
 const describeCores = (primary: Primary | undefined) =>
   primary?.members().map(({ core, held, isCurrent, transfer, downFor }) => {
     const { stamp } = primary.state();
-    const isBefore = held !== undefined && Stamp.isNewer(stamp, held);
+    const isBehind = held !== undefined && Stamp.isNewer(stamp, held);
     return {
       node: core.node,
       in_sync: Term.isInSync(primary.term(), core.disk),
       current: isCurrent,
       held: held ?? null,
-      behind: held === undefined ? null : isBefore ? Math.max(1, stamp.revision - held.revision) : 0,
+      behind: held === undefined ? null : isBehind ? Math.max(1, stamp.revision - held.revision) : 0,
       transfer: transfer ?? null,
       silent_ms: Number.isFinite(downFor) ? Math.round(downFor) : null,
     };
   }) ?? [];
 
+/** How each group isolates tenants, without the secret of the walls. */
 const describeWalls = ({ walls, groups, rules }: Document) =>
   walls && {
     generation: walls.generation,
@@ -54,12 +56,14 @@
     shared: rules.filter((rule) => rule.wall === 'shared').map((rule) => rule.name),
   };
 
+/** The queries for members and status. */
 export const ReadStatus = {
-  /** The members as the primary knows them: a core that is cut off knows few, and says so with a 503. */
+  /** The members known to the primary. An isolated core knows only a few and answers 503 instead. */
   async nodes(office: Office, { roll }: ReadStatus): Promise<Responses> {
     await office.confirm();
-    return { status: 200, body: { nodes: roll.all().map(describe) } };
+    return { status: 200, body: { nodes: roll.all().map(describeNode) } };
   },
+  /** The state of the cores, the manifest and the proxies. */
   async run(office: Office, { roll, core }: ReadStatus): Promise<Responses> {
     const state = await office.confirm();
     const proxies = roll.all().filter((entry) => entry.program === 'proxy');
--- a/src/control/rights.ts
+++ b/src/control/rights.ts
@@ -1,13 +1,19 @@
-// Whose change is it? An operator may be bound to teams: then a change may touch only those teams'
-// entries and the rules that name no other team.
+/**
+ * Which changes of the manifest an operator may make. An operator may be restricted to teams; it may then change only the entries
+ * of these teams and rules that name no other team.
+ */
+
 import { isDeepStrictEqual } from 'node:util';
 import type { Document } from '../manifest/document.js';
 
+/** What a change touches: teams, and other parts of the manifest by name. */
 export type Rights = { readonly teams: readonly string[]; readonly others: readonly string[] };
 
 export declare namespace Rights {
+  /** An operator or platform client, as its token identifies it. */
   type Person = {
     readonly name: string;
+    /** The teams that the operator is restricted to, or undefined if it is unrestricted. */
     readonly teams: readonly string[] | undefined;
     readonly maySeeSecrets?: boolean;
   };
@@ -18,17 +24,23 @@
     (key) => !isDeepStrictEqual(before[key], after[key]),
   );
 
-const common = (rule: Document.Rule): boolean => rule.teams === undefined;
+const appliesToAllTeams = (rule: Document.Rule): boolean => rule.teams === undefined;
 
+/**
+ * Rules added, removed or changed. They are matched by name through a map: comparing each rule with every other blocked the
+ * primary for longer than its peers wait.
+ */
 const changedRules = (before: readonly Document.Rule[], after: readonly Document.Rule[]) => {
-  const missingFrom = (rules: readonly Document.Rule[]) => {
-    const named = new Map(rules.map((rule) => [rule.name, rule]));
-    return (one: Document.Rule) => !isDeepStrictEqual(one, named.get(one.name));
+  const differsFrom = (rules: readonly Document.Rule[]) => {
+    const byName = new Map(rules.map((rule) => [rule.name, rule]));
+    return (one: Document.Rule) => !isDeepStrictEqual(one, byName.get(one.name));
   };
-  return [...before.filter(missingFrom(after)), ...after.filter(missingFrom(before))];
+  return [...before.filter(differsFrom(after)), ...after.filter(differsFrom(before))];
 };
 
+/** Checks changes of the manifest against an operator's teams. */
 export const Rights = {
+  /** The teams and other parts of the manifest that a change affects. */
   affected(before: Document | undefined, after: Document): Rights {
     const rules = changedRules(before?.rules ?? [], after.rules);
     const teams = new Set([
@@ -45,22 +57,27 @@
       quotas(before).filter(([, one]) => one),
       quotas(after).filter(([, one]) => one),
     );
-    const commonOrder = (rules: readonly Document.Rule[]) => rules.filter(common).map((rule) => rule.name);
-    const isCommonMoved = !isDeepStrictEqual(commonOrder(before?.rules ?? []), commonOrder(after.rules));
+    const commonRuleNames = (rules: readonly Document.Rule[]) =>
+      rules.filter(appliesToAllTeams).map((rule) => rule.name);
+    const isCommonOrderChanged = !isDeepStrictEqual(
+      commonRuleNames(before?.rules ?? []),
+      commonRuleNames(after.rules),
+    );
     return {
       teams: [...teams],
       others: [
         ...others,
         ...(isQuotaChanged ? ['quotas'] : []),
-        ...(rules.some(common) || isCommonMoved ? ['rules of all teams'] : []),
+        ...(rules.some(appliesToAllTeams) || isCommonOrderChanged ? ['rules of all teams'] : []),
       ],
     };
   },
-  denied(by: Rights.Person, touched: Rights): string | undefined {
+  /** Why the operator may not make the change, or undefined if it may. */
+  denied(by: Rights.Person, affected: Rights): string | undefined {
     if (!by.teams) return undefined;
-    const foreign = touched.teams.filter((team) => !by.teams?.includes(team));
+    const foreign = affected.teams.filter((team) => !by.teams?.includes(team));
     if (foreign.length > 0) return `${by.name} may not change the teams ${foreign.join(', ')}`;
-    if (touched.others.length > 0) return `${by.name} may not change ${touched.others.join(', ')}`;
+    if (affected.others.length > 0) return `${by.name} may not change ${affected.others.join(', ')}`;
     return undefined;
   },
 };
