--- a/src/bin/agent.ts
+++ b/src/bin/agent.ts
@@ -1,5 +1,6 @@
 #!/usr/bin/env node
-// The agent, beside each proxy: keeps the link to the control plane and feeds the proxy.
+/** The agent, which runs beside each proxy: it keeps the connection to the control plane and updates the proxy. */
+
 import { Agent } from '../agent/program.js';
 import { Program } from '../startup/program.js';
 import { Startup } from '../startup/startup.js';
--- a/src/bin/control.ts
+++ b/src/bin/control.ts
@@ -1,5 +1,6 @@
 #!/usr/bin/env node
-// A control node, on a core machine with a disk.
+/** A control node, which runs on a core machine with a disk. */
+
 import { Control } from '../control/program.js';
 import { Program } from '../startup/program.js';
 import { Startup } from '../startup/startup.js';
--- a/src/bin/proxy.ts
+++ b/src/bin/proxy.ts
@@ -1,5 +1,6 @@
 #!/usr/bin/env node
-// The proxy, on a front machine: where callers' prompts enter.
+/** The proxy, which runs on a front machine and receives the clients' requests. */
+
 import { ProxyProgram } from '../proxy/program.js';
 import { Program } from '../startup/program.js';
 import { Startup } from '../startup/startup.js';
--- a/src/cli/diff.ts
+++ b/src/cli/diff.ts
@@ -1,4 +1,6 @@
-// The difference of two JSON documents: each place that one has otherwise than the other.
+/** The difference between two JSON documents, as a list of places with the value before and after. */
+
+/** A place at which the documents differ; a value is undefined where it is absent. */
 export type Diff = {
   readonly place: string;
   readonly before: unknown;
@@ -16,8 +18,11 @@
   return keys.flatMap((key) => walk(before[key], after[key], `${place}/${key}`));
 };
 
+/** Compares JSON documents. */
 export const Diff = {
+  /** All differences, by JSON pointer. */
   of: (before: unknown, after: unknown): readonly Diff[] => walk(before, after, ''),
+  /** The differences as lines that begin with - or +. */
   text: (diffs: readonly Diff[]): string =>
     diffs
       .flatMap(({ place, before, after }) => [
--- a/src/cli/import.ts
+++ b/src/cli/import.ts
@@ -1,47 +1,55 @@
-// Import of Envoy's configuration files, as YAML or JSON: clusters become groups and routes become rules of a
-// manifest draft. Whatever is not carried over is reported with its place, and so is what the draft still
-// lacks, for that configuration knows neither regions nor homes nor which requests may run twice.
+/**
+ * Import of Envoy configuration files, in YAML or JSON. Clusters become groups and routes become rules of a draft manifest.
+ * Whatever is not carried over is reported with its place, and so is what the draft still lacks: Envoy's configuration knows
+ * neither regions nor homes, nor which requests may run twice.
+ */
+
 import { parse } from 'yaml';
 import { Failure } from '../common/failure.js';
 import type { Guard } from '../common/guard.js';
 import { Check } from '../manifest/check.js';
 import { Document } from '../manifest/document.js';
 
+/** The draft, what was not carried over, and what the draft still lacks. */
 export type Import = {
   readonly draft: Readonly<Record<string, unknown>>;
-  readonly left: readonly Guard.Finding[];
-  readonly lacking: readonly Guard.Finding[];
+  readonly skipped: readonly Guard.Finding[];
+  readonly missing: readonly Guard.Finding[];
 };
 
 type Node = { readonly value: unknown; readonly place: string };
 type Fields = Readonly<Record<string, unknown>>;
 
-const spans: Readonly<Record<string, number>> = { ms: 1, s: 1000, m: 60_000, h: 3_600_000 };
-const conditions: readonly string[] = Document.conditions;
+const unitMs: Readonly<Record<string, number>> = { ms: 1, s: 1000, m: 60_000, h: 3_600_000 };
+const retryConditions: readonly string[] = Document.conditions;
 
 const isFields = (value: unknown): value is Fields =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
+/** The places of all values that are not objects or arrays. */
 const leavesOf = ({ value, place }: Node): readonly string[] =>
   typeof value !== 'object' || value === null
     ? [place]
     : Object.entries(value).flatMap(([key, inner]) => leavesOf({ value: inner, place: `${place}/${key}` }));
 
+/** A valid name for the manifest, made from any text. */
 const nameOf = (text: string): string =>
   text
     .replace(/[^A-Za-z0-9._-]+/g, '-')
     .replace(/^[^A-Za-z0-9]+/, '')
     .slice(0, 64);
 
+/** Imports configuration files of other proxies. */
 export const Import = {
-  envoy(text: string): Import {
-    let whole: unknown;
+  /** Turns an Envoy configuration into a draft. */
+  fromEnvoy(text: string): Import {
+    let configuration: unknown;
     try {
-      whole = parse(text);
+      configuration = parse(text);
     } catch (cause) {
       throw Failure.of('startup', `the file is neither YAML nor JSON: ${Failure.text(cause)}`);
     }
-    const root: Node = { value: whole, place: '' };
+    const root: Node = { value: configuration, place: '' };
     const carried = new Set<string>();
     const at = ({ value, place }: Node, ...path: readonly (string | number)[]): Node =>
       path.reduce<Node>(
@@ -54,21 +62,24 @@
       );
     const each = (node: Node): readonly Node[] =>
       Array.isArray(node.value) ? node.value.map((_one, index) => at(node, index)) : [];
+    /** Reads a value and, if it could be read, marks it as carried over. */
     const carry = <T>(node: Node, read: (value: unknown) => T | undefined): T | undefined => {
-      const got = node.value === undefined ? undefined : read(node.value);
-      if (got !== undefined) for (const leaf of leavesOf(node)) carried.add(leaf);
-      return got;
+      const result = node.value === undefined ? undefined : read(node.value);
+      if (result !== undefined) for (const leaf of leavesOf(node)) carried.add(leaf);
+      return result;
     };
-    const word = (node: Node) => carry(node, (value) => (typeof value === 'string' ? value : undefined));
-    const count = (node: Node) =>
+    const readString = (node: Node) =>
+      carry(node, (value) => (typeof value === 'string' ? value : undefined));
+    const readInteger = (node: Node) =>
       carry(node, (value) => (Number.isSafeInteger(value) ? (value as number) : undefined));
-    const span = (node: Node) =>
+    const readDuration = (node: Node) =>
       carry(node, (value) => {
         const found = /^(\d+(?:\.\d+)?)(ms|s|m|h)$/.exec(String(value));
-        const length = found ? Math.round(Number(found[1]) * spans[found[2]!]!) : 0;
+        const length = found ? Math.round(Number(found[1]) * unitMs[found[2]!]!) : 0;
         return length > 0 ? length : undefined;
       });
-    const known = <T extends object>(fields: T): Partial<T> =>
+    /** The fields without undefined values and empty objects. */
+    const compact = <T extends object>(fields: T): Partial<T> =>
       Object.fromEntries(
         Object.entries(fields).filter(
           ([, value]) => value !== undefined && !(isFields(value) && Object.keys(value).length === 0),
@@ -76,32 +87,33 @@
       ) as Partial<T>;
 
     const clusters = each(at(root, 'static_resources', 'clusters'));
-    const connects = new Map<string, number | undefined>();
+    const connectTimeouts = new Map<string, number | undefined>();
     const groups = Object.fromEntries(
       clusters.flatMap((cluster) => {
-        const name = word(at(cluster, 'name'));
+        const name = readString(at(cluster, 'name'));
         if (name === undefined) return [];
-        connects.set(name, span(at(cluster, 'connect_timeout')));
+        connectTimeouts.set(name, readDuration(at(cluster, 'connect_timeout')));
         const detection = at(cluster, 'outlier_detection');
-        const ejection = known({
-          consecutive_5xx: count(at(detection, 'consecutive_5xx')),
-          base_ejection_time: span(at(detection, 'base_ejection_time')),
-          max_ejection_percent: count(at(detection, 'max_ejection_percent')),
+        const ejection = compact({
+          consecutive_5xx: readInteger(at(detection, 'consecutive_5xx')),
+          base_ejection_time: readDuration(at(detection, 'base_ejection_time')),
+          max_ejection_percent: readInteger(at(detection, 'max_ejection_percent')),
         });
-        const concurrent = count(at(cluster, 'circuit_breakers', 'thresholds', 0, 'max_requests'));
-        return [[nameOf(name), known({ kind: 'plain', regions: [], concurrent, ejection })] as const];
+        const concurrent = readInteger(at(cluster, 'circuit_breakers', 'thresholds', 0, 'max_requests'));
+        return [[nameOf(name), compact({ kind: 'plain', regions: [], concurrent, ejection })] as const];
       }),
     );
     const readRule = (entry: Node, index: number) => {
       const action = at(entry, 'route');
-      const cluster = word(at(action, 'cluster'));
+      const cluster = readString(at(action, 'cluster'));
       if (cluster === undefined) return [];
-      const exact = word(at(entry, 'match', 'path'));
-      const prefix = exact === undefined ? word(at(entry, 'match', 'prefix')) : undefined;
+      const exact = readString(at(entry, 'match', 'path'));
+      const prefix = exact === undefined ? readString(at(entry, 'match', 'prefix')) : undefined;
       if (exact === undefined && prefix === undefined) return [];
       const headers = each(at(entry, 'match', 'headers')).flatMap((header) => {
-        const value = word(at(header, 'string_match', 'exact')) ?? word(at(header, 'exact_match'));
-        const name = value === undefined ? undefined : word(at(header, 'name'));
+        const value =
+          readString(at(header, 'string_match', 'exact')) ?? readString(at(header, 'exact_match'));
+        const name = value === undefined ? undefined : readString(at(header, 'name'));
         return name !== undefined && value !== undefined ? [[name.toLowerCase(), value] as const] : [];
       });
       const method = headers.find(([name]) => name === ':method')?.[1];
@@ -110,32 +122,32 @@
         const list = String(value)
           .split(',')
           .map((one) => one.trim());
-        return list.every((one) => conditions.includes(one)) ? list : undefined;
+        return list.every((one) => retryConditions.includes(one)) ? list : undefined;
       });
       return [
-        known({
-          name: nameOf(word(at(entry, 'name')) ?? `route-${index + 1}`),
-          match: known({
+        compact({
+          name: nameOf(readString(at(entry, 'name')) ?? `route-${index + 1}`),
+          match: compact({
             path: exact ?? `${prefix!.replace(/\/$/, '')}/*`,
             method,
-            headers: known(Object.fromEntries(headers.filter(([name]) => !name.startsWith(':')))),
+            headers: compact(Object.fromEntries(headers.filter(([name]) => !name.startsWith(':')))),
           }),
           groups: [nameOf(cluster)],
           runs: 'once',
-          timeouts: known({
-            connect: connects.get(cluster),
-            per_try: span(at(policy, 'per_try_timeout')),
-            total: span(at(action, 'timeout')),
-            idle: span(at(action, 'idle_timeout')),
+          timeouts: compact({
+            connect: connectTimeouts.get(cluster),
+            per_try: readDuration(at(policy, 'per_try_timeout')),
+            total: readDuration(at(action, 'timeout')),
+            idle: readDuration(at(action, 'idle_timeout')),
           }),
-          retry: known({
+          retry: compact({
             retry_on: retryOn,
-            count: count(at(policy, 'num_retries')),
+            count: readInteger(at(policy, 'num_retries')),
             codes: carry(at(policy, 'retriable_status_codes'), (value) =>
               Array.isArray(value) ? value : undefined,
             ),
-            base: span(at(policy, 'retry_back_off', 'base_interval')),
-            max: span(at(policy, 'retry_back_off', 'max_interval')),
+            base: readDuration(at(policy, 'retry_back_off', 'base_interval')),
+            max: readDuration(at(policy, 'retry_back_off', 'max_interval')),
           }),
         }),
       ];
@@ -152,10 +164,10 @@
     const checked = Check.manifest(draft);
     return {
       draft,
-      left: leavesOf(root)
+      skipped: leavesOf(root)
         .filter((place) => !carried.has(place))
         .map((place) => ({ place, text: 'is not carried over' })),
-      lacking: checked.kind === 'bad' ? checked.findings : [],
+      missing: checked.kind === 'bad' ? checked.findings : [],
     };
   },
 };
--- a/src/cli/trace.ts
+++ b/src/cli/trace.ts
@@ -1,17 +1,24 @@
-// The tracer of one change through all nodes: it reads from each node itself which stamp it holds, and
-// prints when each first held the change, counted from when the trace began.
+/**
+ * Traces a change through all nodes: each node is polled for the version that it holds. Reports when each first held the
+ * change, counted from the start of the trace.
+ */
+
 import { request } from 'undici';
 
+/** When a node first held the change. */
 export type Trace = {
   readonly node: string;
   readonly program: string;
   readonly zone: string;
   readonly via: string;
-  readonly after: number | undefined;
+  /** Milliseconds from the start of the trace, or undefined if the node did not hold it in time. */
+  readonly afterMs: number | undefined;
 };
 
 export declare namespace Trace {
+  /** The version of the state that a node holds. */
   type Stamp = { readonly epoch: number; readonly revision: number };
+  /** A member of the fleet, as the control API lists it. */
   type Node = {
     readonly node: string;
     readonly program: string;
@@ -22,8 +29,8 @@
   };
 }
 
-const isAt = (held: Trace.Stamp, wanted: Trace.Stamp): boolean =>
-  held.epoch > wanted.epoch || (held.epoch === wanted.epoch && held.revision >= wanted.revision);
+const hasReached = (held: Trace.Stamp, target: Trace.Stamp): boolean =>
+  held.epoch > target.epoch || (held.epoch === target.epoch && held.revision >= target.revision);
 
 const readStamp = async (node: Trace.Node): Promise<Trace.Stamp | undefined> => {
   if (node.ops === '') return undefined;
@@ -35,27 +42,29 @@
   }
 };
 
+/** Traces changes. */
 export const Trace = {
-  async run(nodes: readonly Trace.Node[], wanted: Trace.Stamp, within: number): Promise<readonly Trace[]> {
+  /** Polls all nodes until they hold the change or the time is up. */
+  async run(nodes: readonly Trace.Node[], target: Trace.Stamp, timeoutMs: number): Promise<readonly Trace[]> {
     const began = performance.now();
-    const found = new Map<string, number>();
-    const look = async (node: Trace.Node) => {
-      while (performance.now() - began < within) {
+    const firstHeld = new Map<string, number>();
+    const poll = async (node: Trace.Node) => {
+      while (performance.now() - began < timeoutMs) {
         const stamp = await readStamp(node);
-        if (stamp && isAt(stamp, wanted)) {
-          found.set(node.node, performance.now() - began);
+        if (stamp && hasReached(stamp, target)) {
+          firstHeld.set(node.node, performance.now() - began);
           return;
         }
         await new Promise((resolve) => setTimeout(resolve, 10));
       }
     };
-    await Promise.all(nodes.map(look));
+    await Promise.all(nodes.map(poll));
     return nodes.map(({ node, program, zone, via }) => ({
       node,
       program,
       zone,
       via,
-      after: found.get(node),
+      afterMs: firstHeld.get(node),
     }));
   },
 };
--- a/src/control/queries/read-directory.ts
+++ b/src/control/queries/read-directory.ts
@@ -1,6 +1,6 @@
 /**
- * The ready proxies nearest to a zone, for clients. Any core answers from its own membership list. A core that has just started,
- * or that knows no ready proxy, answers 503 rather than an empty list.
+ * The ready proxies nearest to a zone, for clients. Any core answers from its own membership list. A core that has just
+ * started, or that knows no ready proxy, answers 503 rather than an empty list.
  */
 
 import type { Roll } from '../../membership/roll.js';
@@ -31,8 +31,8 @@
 /** The query for the proxies nearest to a zone. */
 export const ReadDirectory = {
   /** The ready proxies of the zone, else those of its region, else all. */
-  find({ roll, isReady: knows, regionOf }: ReadDirectory.Dependencies, zone: string): ReadDirectory.Found {
-    if (!knows()) return undefined;
+  find({ roll, isReady, regionOf }: ReadDirectory.Dependencies, zone: string): ReadDirectory.Found {
+    if (!isReady()) return undefined;
     const readyProxies = roll
       .all()
       .filter((entry) => entry.program === 'proxy' && entry.ready && entry.age < maxAgeMs)
--- a/src/control/rights.ts
+++ b/src/control/rights.ts
@@ -1,6 +1,6 @@
 /**
- * Which changes of the manifest an operator may make. An operator may be restricted to teams; it may then change only the entries
- * of these teams and rules that name no other team.
+ * Which changes of the manifest an operator may make. An operator may be restricted to teams; it may then change only the
+ * entries of these teams and rules that name no other team.
  */
 
 import { isDeepStrictEqual } from 'node:util';
--- a/test/control.test.ts
+++ b/test/control.test.ts
@@ -1,5 +1,8 @@
-// The control plane's interface: what is acknowledged, what is refused and with which findings, and
-// that the newest acknowledged manifest is what is read back, through any core and after restarts.
+/**
+ * Control API: what is acknowledged, what is refused and with which findings, and that the newest acknowledged manifest is what
+ * is read back, through any core and after restarts.
+ */
+
 import assert from 'node:assert/strict';
 import { request } from 'node:http';
 import { after, before, describe, it } from 'node:test';
@@ -7,8 +10,8 @@
 import { InForce } from '../tools/in-force.js';
 import { Bench } from './bench.js';
 
-/** So that nothing hangs, in milliseconds. */
-const refilledWithin = 20_000;
+/** Limits the wait for a node to recover its state. */
+const recoveryTimeoutMs = 20_000;
 
 describe('control', () => {
   let bench: Bench;
@@ -18,8 +21,8 @@
   });
   after(() => bench.stop());
 
-  const noted = (note: string) => ({ ...Bench.manifest, note });
-  const tag = async (): Promise<string> => {
+  const manifestWithNote = (note: string) => ({ ...Bench.manifest, note });
+  const readTag = async (): Promise<string> => {
     for (;;) {
       const { etag } = await bench.kit.operate('GET', '/v1/manifest');
       if (etag !== undefined) return etag;
@@ -29,35 +32,35 @@
     bench.kit.operate('PUT', '/v1/manifest', body, headers);
   const readNote = async () => (await bench.kit.operate('GET', '/v1/manifest')).body.note;
 
-  it('asks for If-Match with 428 and drops a stale one with 412', async () => {
-    assert.equal((await put(noted('none'), {})).status, 428);
-    const first = await tag();
-    const taken = await put(noted('first'), { 'if-match': first });
+  it('requires If-Match with 428 and refuses a stale one with 412', async () => {
+    assert.equal((await put(manifestWithNote('none'), {})).status, 428);
+    const first = await readTag();
+    const taken = await put(manifestWithNote('first'), { 'if-match': first });
     assert.equal(taken.status, 200);
-    const stale = await put(noted('stale'), { 'if-match': first });
+    const stale = await put(manifestWithNote('stale'), { 'if-match': first });
     assert.equal(stale.status, 412);
     assert.equal(`"${(stale.body.error as { revision: number }).revision}"`, taken.etag);
     assert.equal(await readNote(), 'first');
   });
 
   it('acknowledges exactly one of two that race', async () => {
-    const match = { 'if-match': await tag() };
-    const bodies = ['left', 'right'].map((note) => noted(note));
-    const answers = await Promise.all(
+    const ifMatch = { 'if-match': await readTag() };
+    const bodies = ['left', 'right'].map((note) => manifestWithNote(note));
+    const responses = await Promise.all(
       bodies.map((body, index) =>
         FleetKit.call(bench.kit.cores[index]!.http, 'PUT', '/v1/manifest', body, {
           authorization: `Bearer ${FleetKit.operatorToken}`,
-          ...match,
+          ...ifMatch,
         }),
       ),
     );
-    assert.deepEqual(answers.map((one) => one.status).sort(), [200, 412]);
-    const winner = answers.findIndex((one) => one.status === 200);
+    assert.deepEqual(responses.map((one) => one.status).sort(), [200, 412]);
+    const winner = responses.findIndex((one) => one.status === 200);
     assert.equal(await readNote(), bodies[winner]?.note);
   });
 
   it('answers 422 with every finding and its place, and changes nothing', async () => {
-    const before = await tag();
+    const before = await readTag();
     const body = {
       ...Bench.manifest,
       surplus: 1,
@@ -85,31 +88,31 @@
       (second.body.error as { findings: { place: string }[] }).findings.map((one) => one.place).sort(),
       ['/evacuations/0', '/groups/llm/models', '/groups/llm/regions/0', '/rules/0/groups/0'],
     );
-    assert.equal(await tag(), before);
+    assert.equal(await readTag(), before);
   });
 
   it('checks without taking', async () => {
-    const before = await tag();
+    const before = await readTag();
     const check = (body: unknown) => bench.kit.operate('POST', '/v1/manifest/check', body);
-    assert.equal((await check(noted('dry'))).body.good, true);
+    assert.equal((await check(manifestWithNote('dry'))).body.good, true);
     assert.equal((await check({})).body.good, false);
-    assert.equal(await tag(), before);
+    assert.equal(await readTag(), before);
   });
 
-  it('gives a repeated PUT its first answer, and drops a key that comes with another body', async () => {
-    const headers = { 'if-match': await tag(), 'idempotency-key': 'only-once' };
-    const first = await put(noted('keyed'), headers);
+  it('answers a repeated PUT as before, and refuses a key that is reused with another body', async () => {
+    const headers = { 'if-match': await readTag(), 'idempotency-key': 'only-once' };
+    const first = await put(manifestWithNote('keyed'), headers);
     assert.equal(first.status, 200);
-    const again = await put(noted('keyed'), headers);
+    const again = await put(manifestWithNote('keyed'), headers);
     assert.equal(again.status, 200);
     assert.equal(again.etag, first.etag);
-    assert.equal((await put(noted('other'), headers)).status, 409);
-    assert.equal(await tag(), first.etag);
+    assert.equal((await put(manifestWithNote('other'), headers)).status, 409);
+    assert.equal(await readTag(), first.etag);
   });
 
-  it('keeps revisions and rolls back as a new one', async () => {
-    const first = await put(noted('to keep'), { 'if-match': await tag() });
-    const second = await put(noted('to leave'), { 'if-match': first.etag! });
+  it('retains revisions and rolls back as a new one', async () => {
+    const first = await put(manifestWithNote('to keep'), { 'if-match': await readTag() });
+    const second = await put(manifestWithNote('to leave'), { 'if-match': first.etag! });
     const revision = Number(first.body.revision);
     const back = await bench.kit.operate(
       'POST',
@@ -125,17 +128,17 @@
     assert.equal((await bench.kit.operate('GET', '/v1/manifest/999999')).status, 404);
   });
 
-  it('turns a body over the limit away with 413, by its stated length or as it is read', async () => {
+  it('refuses a body over the limit with 413, by its stated length or while it is read', async () => {
     const [host, port] = bench.kit.cores[0]!.http.split(':');
     const ask = (headers: Record<string, string | number>, chunks: readonly Buffer[]): Promise<unknown> =>
       new Promise((resolve, reject) => {
-        const whole = { ...headers, authorization: 'Bearer nobody-at-all' };
+        const allHeaders = { ...headers, authorization: 'Bearer nobody-at-all' };
         const asked = request({
           host,
           port,
           method: 'PUT',
           path: '/v1/manifest',
-          headers: whole,
+          headers: allHeaders,
           agent: false,
         });
         asked.once('response', async (answer) => {
@@ -147,16 +150,16 @@
         asked.once('error', reject);
         for (const chunk of chunks) asked.write(chunk);
       });
-    const most = 16 * 1024 * 1024;
+    const maxBytes = 16 * 1024 * 1024;
     const mebibyte = Buffer.alloc(1024 * 1024, 32);
-    const over = [413, 'body_too_long'];
-    assert.deepEqual(await ask({ 'content-length': most + 1 }, [mebibyte]), over);
+    const refusal = [413, 'body_too_long'];
+    assert.deepEqual(await ask({ 'content-length': maxBytes + 1 }, [mebibyte]), refusal);
     const stream = Array.from({ length: 17 }, () => mebibyte);
-    assert.deepEqual(await ask({ 'transfer-encoding': 'chunked' }, stream), over);
+    assert.deepEqual(await ask({ 'transfer-encoding': 'chunked' }, stream), refusal);
     assert.equal((await bench.kit.operate('GET', '/v1/manifest')).status, 200);
   });
 
-  it('drops unknown tokens, and keeps operators and the platform apart', async () => {
+  it('refuses unknown tokens, and separates the rights of operators and the platform', async () => {
     const asNobody = { authorization: 'Bearer nobody-at-all' };
     const asPlatform = { authorization: `Bearer ${FleetKit.platformToken}` };
     assert.equal((await bench.kit.operate('GET', '/v1/manifest', undefined, asNobody)).status, 401);
@@ -164,7 +167,7 @@
     assert.equal((await bench.kit.operate('PUT', '/v1/servers', { serial: 1, servers: [] })).status, 401);
   });
 
-  it('takes the platform’s list by its serial, and notices of leaving', async () => {
+  it('accepts the platform’s list by its serial, and notices that an instance is leaving', async () => {
     const headers = { authorization: `Bearer ${FleetKit.platformToken}` };
     const server = { instance: 'a1', group: 'llm', address: '127.0.0.1:9', region: 'a', zone: 'a-1' };
     const list = (serial: number, servers: object[]) =>
@@ -183,7 +186,7 @@
     assert.deepEqual((await bench.kit.operate('GET', '/v1/servers', undefined, headers)).body.leaving, []);
   });
 
-  it('gives new requests no leaving server and none of an evacuated zone, and turns its proxies unready', async () => {
+  it('sends new requests to no leaving server and none in an evacuated zone, whose proxies become unready', async () => {
     const serve: Bench.Handle = (_request, response) => Bench.sse(response, ['one']);
     const a = await bench.backEnd({ instance: 'la', group: 'llm', region: 'a', handle: serve });
     const b = await bench.backEnd({ instance: 'lb', group: 'llm', region: 'b', handle: serve });
@@ -201,11 +204,11 @@
     const readiness = async () => (await fetch(`http://${bench.kit.fronts[0]!.listen}/ready`)).status;
     assert.equal(await regionNow(), 'a');
     assert.equal(await readiness(), 200);
-    await put({ ...Bench.manifest, evacuations: ['a-1'] }, { 'if-match': await tag() });
+    await put({ ...Bench.manifest, evacuations: ['a-1'] }, { 'if-match': await readTag() });
     await InForce.everywhere(bench.kit);
     assert.equal(await regionNow(), 'b');
     assert.equal(await readiness(), 503);
-    await put(Bench.manifest, { 'if-match': await tag() });
+    await put(Bench.manifest, { 'if-match': await readTag() });
     await InForce.everywhere(bench.kit);
     assert.equal(await regionNow(), 'a');
     await bench.kit.operate('POST', '/v1/leaving', { instance: 'la' }, headers);
@@ -213,8 +216,8 @@
     assert.equal(await regionNow(), 'b');
   });
 
-  it('keeps what it acknowledged when all cores are killed at once', async () => {
-    const taken = await put(noted('outlives'), { 'if-match': await tag() });
+  it('retains what it acknowledged when all cores are killed at once', async () => {
+    const taken = await put(manifestWithNote('outlives'), { 'if-match': await readTag() });
     assert.equal(taken.status, 200);
     await Promise.all(bench.kit.cores.map((core) => core.process?.end('SIGKILL')));
     await Promise.all(bench.kit.cores.map((core) => bench.kit.startCore(core)));
@@ -224,27 +227,27 @@
     assert.equal(read.body.note, 'outlives');
   });
 
-  it('refills a proxy from its agent and an agent from its proxy while the control plane is gone', async () => {
+  it('restores a proxy from its agent and an agent from its proxy while the control plane is down', async () => {
     const before = await InForce.stamp(bench.kit);
     await InForce.everywhere(bench.kit);
     await Promise.all(bench.kit.cores.map((core) => core.process?.end('SIGKILL')));
     const front = bench.kit.fronts[0]!;
     const stampOf = async (address: string) =>
       ((await (await fetch(`http://${address}/health`)).json()) as { stamp: typeof before }).stamp;
-    const until = async (address: string) => {
+    const waitForStamp = async (address: string) => {
       const began = performance.now();
       let stamp = await stampOf(address);
       while (stamp.revision < before.revision || stamp.epoch < before.epoch) {
-        assert.ok(performance.now() - began < refilledWithin, `${JSON.stringify(stamp)} at ${address}`);
+        assert.ok(performance.now() - began < recoveryTimeoutMs, `${JSON.stringify(stamp)} at ${address}`);
         stamp = await stampOf(address);
       }
     };
     await front.proxy?.end('SIGKILL');
     await bench.kit.startProxy(front);
-    await until(front.ops);
+    await waitForStamp(front.ops);
     await front.agent?.end('SIGKILL');
     await bench.kit.startAgent(front);
-    await until(front.agentOps);
+    await waitForStamp(front.agentOps);
     assert.equal((await bench.chat('unheard-of')).status, 404);
   });
 });
--- a/test/rights-size.test.ts
+++ b/test/rights-size.test.ts
@@ -1,14 +1,17 @@
-// Whose change a change is must be known without comparing each rule with every other: at thousands of rules that
-// would hold the primary up for longer than its mates wait.
+/**
+ * Guards against comparing each rule with every other to find what a change affects: with thousands of rules that would block
+ * the primary for longer than its peers wait.
+ */
+
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Rights } from '../src/control/rights.js';
 import type { Document } from '../src/manifest/document.js';
 
-const count = 2000;
+const ruleCount = 2000;
 
 describe('rights over many rules', () => {
-  it('looks at each rule a few times only', () => {
+  it('reads each rule only a few times', () => {
     let reads = 0;
     const rule = (index: number, groups: string) => ({
       get name() {
@@ -24,10 +27,12 @@
         groups: {},
         homes: {},
         teams: {},
-        rules: Array.from({ length: count }, (_none, index) => rule(index, index === 7 ? changed : 'same')),
+        rules: Array.from({ length: ruleCount }, (_none, index) =>
+          rule(index, index === 7 ? changed : 'same'),
+        ),
       }) as unknown as Document;
-    const touched = Rights.affected(documentOf('before'), documentOf('after'));
-    assert.deepEqual(touched, { teams: ['team-7'], others: [] });
-    assert.ok(reads <= 16 * count, `${reads} reads of ${count} rules`);
+    const affected = Rights.affected(documentOf('before'), documentOf('after'));
+    assert.deepEqual(affected, { teams: ['team-7'], others: [] });
+    assert.ok(reads <= 16 * ruleCount, `${reads} reads of ${ruleCount} rules`);
   });
 });
--- a/test/rights.test.ts
+++ b/test/rights.test.ts
@@ -1,4 +1,5 @@
-// Operators bound to teams: what they may change and what not.
+/** Operators restricted to teams: what they may change and what they may not. */
+
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Evacuate } from '../src/control/commands/evacuate.js';
@@ -8,22 +9,22 @@
 
 const { manifest } = Bench;
 const [rule] = manifest.rules;
-const own = { ...rule, name: 'own', teams: ['testers'] } as unknown as Document.Rule;
-const foreign = { ...rule, name: 'foreign', teams: ['others'] } as unknown as Document.Rule;
-const person = { name: 'nurse', teams: ['testers'] };
+const ownRule = { ...rule, name: 'own', teams: ['testers'] } as unknown as Document.Rule;
+const ruleOfOthers = { ...rule, name: 'foreign', teams: ['others'] } as unknown as Document.Rule;
+const teamOperator = { name: 'nurse', teams: ['testers'] };
 const denied = (after: Document, before: Document = manifest) =>
-  Rights.denied(person, Rights.affected(before, after));
+  Rights.denied(teamOperator, Rights.affected(before, after));
 
-const unused = () => Promise.reject(new Error('the state was asked for'));
+const failIfCalled = () => Promise.reject(new Error('the state was read'));
 
 describe('rights', () => {
   it('let a team’s operator change the team’s entry and its own rules', () => {
-    assert.equal(denied({ ...manifest, rules: [...manifest.rules, own] }), undefined);
+    assert.equal(denied({ ...manifest, rules: [...manifest.rules, ownRule] }), undefined);
     const teams = { ...manifest.teams, testers: { ...manifest.teams.testers!, keys: [] } };
     assert.equal(denied({ ...manifest, teams }), undefined);
   });
   it('keep the operator from other teams, common rules, their order, and all else', () => {
-    assert.match(denied({ ...manifest, rules: [...manifest.rules, foreign] })!, /others/);
+    assert.match(denied({ ...manifest, rules: [...manifest.rules, ruleOfOthers] })!, /others/);
     assert.match(denied({ ...manifest, rules: manifest.rules.slice(1) })!, /rules of all teams/);
     assert.match(denied({ ...manifest, rules: [...manifest.rules].reverse() })!, /rules of all teams/);
     assert.match(denied({ ...manifest, evacuations: ['a-1'] as never })!, /evacuations/);
@@ -33,8 +34,8 @@
     assert.match(denied({ ...manifest, rules: [...manifest.rules, shared] })!, /others/);
   });
   it('keep the operator from evacuations', async () => {
-    const office = { isSettled: () => true, confirm: unused, change: unused };
-    const denied = await Evacuate.run(office, { zone: 'a-1', isEvacuated: true, by: person });
+    const office = { isSettled: () => true, confirm: failIfCalled, change: failIfCalled };
+    const denied = await Evacuate.run(office, { zone: 'a-1', isEvacuated: true, by: teamOperator });
     assert.equal(denied.status, 403);
     assert.match(JSON.stringify(denied.body), /nurse may not change evacuations/);
   });
