--- a/src/control/commands/renew-list.ts
+++ b/src/control/commands/refresh-server-list.ts
@@ -1,13 +1,17 @@
-// Take the list of servers as polled, under the next serial. Nothing is written when it is the one held.
+/** Stores the list of servers as polled, under the next serial. Nothing is written if it equals the stored list. */
+
 import { isDeepStrictEqual } from 'node:util';
 import type { Document } from '../../manifest/document.js';
 import type { Office } from '../office.js';
 import type { Responses } from '../responses.js';
 
-export type RenewList = { readonly servers: readonly Document.Server[] };
+/** The list as polled. */
+export type RefreshServerList = { readonly servers: readonly Document.Server[] };
 
-export const RenewList = {
-  async run(office: Office, { servers }: RenewList): Promise<Responses> {
+/** The command that stores a polled list of servers. */
+export const RefreshServerList = {
+  /** Stores the list if it differs from the stored one. */
+  async run(office: Office, { servers }: RefreshServerList): Promise<Responses> {
     const at = new Date().toISOString();
     return office.change(
       ({ platform }, stamp) =>
