--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -8,9 +8,9 @@
 import { Listen } from '../common/listen.js';
 import { Timer } from '../common/timer.js';
 import { BudgetDuty } from '../duty/budget-duty.js';
-import { FailureSums } from '../duty/failure-sums.js';
+import { FailureAggregator } from '../duty/failure-aggregator.js';
+import { FallbackListDuty } from '../duty/fallback-list-duty.js';
 import { ListDuty } from '../duty/list-duty.js';
-import { LookoutDuty } from '../duty/lookout-duty.js';
 import { QuotaDuty } from '../duty/quota-duty.js';
 import { ReportDuty } from '../duty/report-duty.js';
 import { Proposer } from '../epoch/proposer.js';
@@ -96,12 +96,12 @@
     const isBelow = (node: string) => (roll.get(node)?.program ?? 'control') !== 'control';
     const roster = Roster.of();
     const rosters = Timer.every(250, () => {
-      quotas.look(core?.term()?.epoch ?? 0);
+      quotas.observeEpoch(core?.term()?.epoch ?? 0);
       const proxies = roll.all().filter((entry) => entry.program === 'proxy');
       const names = proxies.map((entry) => entry.node);
       roster.set(isInTouch() ? names : [...new Set([...roster.names(), ...names])]);
     });
-    const failures = FailureSums.of((failed) => children.broadcast({ kind: 'failures', failed }));
+    const failures = FailureAggregator.of((failed) => children.broadcast({ kind: 'failures', failed }));
     const sendDown = (frame: BudgetDuty.Tokens) => void children.send(frame.node, frame);
     const peers: Peers = Peers.of({
       seeds: startup.seeds,
@@ -120,16 +120,16 @@
     const quotas = QuotaDuty.of({
       quotaOf: (team) => feed.view().manifest?.document.teams[team]?.quota,
       roster: roster.names,
-      ask: (node) => sendDown({ ...QuotaDuty.question, node }),
+      requestReport: (node) => sendDown({ ...QuotaDuty.question, node }),
     });
     const budget = BudgetDuty.of({
       quotas,
-      isInTouch,
+      hasRecentPrimary: isInTouch,
       own: startup.node,
       term: () => core?.term(),
       isLive: (node) => roll.get(node) !== undefined,
-      passUp: (node, frame) => void peers.sendUp(node, frame),
-      sendDown,
+      forward: (node, frame) => void peers.sendUp(node, frame),
+      respond: sendDown,
     });
     const highest = () =>
       Epoch.of(
@@ -199,7 +199,7 @@
               age,
               isFirstHand: () => core?.leading() !== undefined || feed.age() > freshFor,
               roster,
-              onTokens: ({ stamp: _stamp, ...frame }) => budget.take(frame),
+              onTokens: ({ stamp: _stamp, ...frame }) => budget.receive(frame),
               onCold: ({ stamp: _stamp, ...frame }) => children.broadcast(frame),
               onFailures: failures.add,
             }),
@@ -298,22 +298,22 @@
       ListDuty.run({
         source: adapter.list,
         isHeld: () => (running.confirmedFor() ?? Number.POSITIVE_INFINITY) < confirmedWithin,
-        held: () => store.state().platform.servers,
+        currentServers: () => store.state().platform.servers,
         renew: async (servers) => (await RenewList.run(office, { servers })).status === 200,
         note: ring.info,
       });
     const lookout =
       adapter.list &&
-      LookoutDuty.run({
+      FallbackListDuty.run({
         source: adapter.list,
         hasPrimary: () => Instant.since(began) < unheardAfter || age() < unheardAfter,
-        turn() {
+        position() {
           const cores = running.term()?.cores ?? [];
           const index = cores.findIndex((one) => one.disk === register.disk);
           return { index: Math.max(0, index), count: Math.max(cores.length, startup.seeds.length) };
         },
-        held: () => (feed.view().manifest ? feed.view() : store.state()).platform.servers,
-        tell: (instances) => children.broadcast({ kind: 'leaving', instances }),
+        currentServers: () => (feed.view().manifest ? feed.view() : store.state()).platform.servers,
+        announceLeaving: (instances) => children.broadcast({ kind: 'leaving', instances }),
         note: ring.info,
       });
     const reports =
@@ -325,7 +325,7 @@
           const { manifest, platform } = feed.view();
           return platform.servers.filter(({ group }) => manifest?.document.groups[group]?.kind === 'model');
         },
-        tell: (loads) => children.broadcast({ kind: 'loads', loads }),
+        publish: (loads) => children.broadcast({ kind: 'loads', loads }),
       });
     running.begin();
     return {
--- a/src/duty/order.ts
+++ b/src/duty/duty-order.ts
@@ -2,13 +2,13 @@
 // newest term lists them. The first live one does it, under the term's epoch.
 import type { Frame } from '../wire/frame.js';
 
-export type Order = readonly string[];
+export type DutyOrder = readonly string[];
 
-export const Order = {
-  of(term: Frame.Term): Order {
+export const DutyOrder = {
+  of(term: Frame.Term): DutyOrder {
     const nodeOf = (disk: string) => term.cores.find((core) => core.disk === disk)?.node;
     const disks = [term.primary, ...term.inSync, ...term.cores.map((core) => core.disk)];
     return [...new Set(disks.map(nodeOf))].filter((node) => node !== undefined);
   },
-  first: (order: Order, isLive: (node: string) => boolean): string | undefined => order.find(isLive),
+  firstLive: (order: DutyOrder, isLive: (node: string) => boolean): string | undefined => order.find(isLive),
 };
--- a/src/duty/failure-sums.ts
+++ b/src/duty/failure-aggregator.ts
@@ -3,7 +3,7 @@
 import { Timer } from '../common/timer.js';
 import type { Frame } from '../wire/frame.js';
 
-export type FailureSums = {
+export type FailureAggregator = {
   readonly add: (told: readonly Frame.Failed[]) => void;
   readonly stop: () => void;
 };
@@ -11,8 +11,8 @@
 const every = 500;
 const most = 16;
 
-export const FailureSums = {
-  of(tell: (failed: readonly Frame.Failed[]) => void): FailureSums {
+export const FailureAggregator = {
+  of(tell: (failed: readonly Frame.Failed[]) => void): FailureAggregator {
     const sums = new Map<string, number>();
     const flush = Timer.every(every, () => {
       if (sums.size === 0) return;
--- a/src/duty/lookout-duty.ts
+++ b/src/duty/fallback-list-duty.ts
@@ -5,18 +5,18 @@
 import { Failure } from '../common/failure.js';
 import type { Document } from '../manifest/document.js';
 import { ListSource } from './list-source.js';
-import { Rounds } from './rounds.js';
+import { RepeatingTask } from './repeating-task.js';
 
-export type LookoutDuty = { readonly stop: () => Promise<void> };
+export type FallbackListDuty = { readonly stop: () => Promise<void> };
 
-export declare namespace LookoutDuty {
-  type Turn = { readonly index: number; readonly count: number };
-  type Needs = {
+export declare namespace FallbackListDuty {
+  type Position = { readonly index: number; readonly count: number };
+  type Dependencies = {
     readonly source: ListSource;
     readonly hasPrimary: () => boolean;
-    readonly turn: () => LookoutDuty.Turn;
-    readonly held: () => readonly Document.Server[];
-    readonly tell: (instances: readonly string[]) => void;
+    readonly position: () => FallbackListDuty.Position;
+    readonly currentServers: () => readonly Document.Server[];
+    readonly announceLeaving: (instances: readonly string[]) => void;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   };
 }
@@ -39,13 +39,13 @@
   };
 };
 
-export const LookoutDuty = {
-  run(needs: LookoutDuty.Needs): LookoutDuty {
+export const FallbackListDuty = {
+  run(needs: FallbackListDuty.Dependencies): FallbackListDuty {
     let missing: ReadonlySet<string> = new Set();
     let rest: number = ListSource.pollEvery;
     let isOut = false;
     const step = async (): Promise<number> => {
-      const { index, count } = needs.turn();
+      const { index, count } = needs.position();
       if (needs.hasPrimary()) {
         isOut = false;
         missing = new Set();
@@ -59,17 +59,17 @@
       }
       const polled = await needs.source.poll();
       if (polled.kind === 'busy') {
-        rest = ListSource.restWhenBusy(rest, count);
+        rest = ListSource.pauseWhenBusy(rest, count);
         return rest;
       }
-      rest = ListSource.rest(needs.source, polled.kind === 'list' ? polled.pieces : 1, count);
+      rest = ListSource.pauseAfter(needs.source, polled.kind === 'list' ? polled.pages : 1, count);
       if (polled.kind === 'failed' || polled.servers.length === 0 || needs.hasPrimary()) return rest;
-      const found = leavingOf(needs.held(), polled.servers, missing);
+      const found = leavingOf(needs.currentServers(), polled.servers, missing);
       missing = found.missing;
-      if (found.leaving.length > 0) needs.tell(found.leaving);
+      if (found.leaving.length > 0) needs.announceLeaving(found.leaving);
       return rest;
     };
-    return Rounds.run(step, lookEvery, (error) =>
+    return RepeatingTask.run(step, lookEvery, (error) =>
       needs.note('the lookout failed', { why: Failure.text(error) }),
     );
   },
--- a/src/duty/list-duty.ts
+++ b/src/duty/list-duty.ts
@@ -6,15 +6,15 @@
 import { Instant } from '../common/instant.js';
 import type { Document } from '../manifest/document.js';
 import { ListSource } from './list-source.js';
-import { Rounds } from './rounds.js';
+import { RepeatingTask } from './repeating-task.js';
 
 export type ListDuty = { readonly stop: () => Promise<void> };
 
 export declare namespace ListDuty {
-  type Needs = {
+  type Dependencies = {
     readonly source: ListSource;
     readonly isHeld: () => boolean;
-    readonly held: () => readonly Document.Server[];
+    readonly currentServers: () => readonly Document.Server[];
     readonly renew: (servers: readonly Document.Server[]) => Promise<boolean>;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   };
@@ -59,7 +59,7 @@
 };
 
 export const ListDuty = {
-  run(needs: ListDuty.Needs): ListDuty {
+  run(needs: ListDuty.Dependencies): ListDuty {
     let told: Told | undefined;
     let missed: ReadonlySet<string> = new Set();
     let rest: number = pollEvery;
@@ -72,22 +72,22 @@
       }
       const polled = await needs.source.poll();
       if (polled.kind === 'busy') {
-        rest = ListSource.restWhenBusy(rest);
+        rest = ListSource.pauseWhenBusy(rest);
         return rest;
       }
       rest = pollEvery;
       if (polled.kind === 'failed') needs.note('the list could not be polled', { why: polled.why });
       if (polled.kind === 'failed' || polled.servers.length === 0 || !needs.isHeld()) return rest;
-      rest = ListSource.rest(needs.source, polled.pieces);
+      rest = ListSource.pauseAfter(needs.source, polled.pages);
       const at = Instant.now();
-      const before = told ?? { servers: needs.held(), at };
-      const servers = polled.pieces > 1 ? keepOnce(before.servers, polled.servers, missed) : polled.servers;
+      const before = told ?? { servers: needs.currentServers(), at };
+      const servers = polled.pages > 1 ? keepOnce(before.servers, polled.servers, missed) : polled.servers;
       missed = new Set(servers.slice(polled.servers.length).map((one) => one.instance));
       told ??= before;
       if (isChanged(before, servers) && (await needs.renew(servers))) told = { servers, at };
       return rest;
     };
-    return Rounds.run(step, pollEvery, (error) =>
+    return RepeatingTask.run(step, pollEvery, (error) =>
       needs.note('the list was not renewed', { why: Failure.text(error) }),
     );
   },
--- a/src/duty/list-source.ts
+++ b/src/duty/list-source.ts
@@ -4,27 +4,27 @@
 import type { Document } from '../manifest/document.js';
 
 export type ListSource = {
-  readonly poll: () => Promise<ListSource.Polled>;
+  readonly poll: () => Promise<ListSource.PollResult>;
   /** Calls a second that all pollers together may make. */
   readonly rate: () => number;
 };
 
 export declare namespace ListSource {
-  type Polled =
-    | { readonly kind: 'list'; readonly servers: readonly Document.Server[]; readonly pieces: number }
+  type PollResult =
+    | { readonly kind: 'list'; readonly servers: readonly Document.Server[]; readonly pages: number }
     | { readonly kind: 'busy' }
     | { readonly kind: 'failed'; readonly why: string };
 }
 
-const pollEvery = 700;
+const pollIntervalMs = 700;
 const ownPart = 0.5;
 const longestRest = 5600;
 
 export const ListSource = {
-  pollEvery,
+  pollEvery: pollIntervalMs,
   /** The pause after a poll of so many pieces, for one of so many pollers. */
-  rest: (source: ListSource, pieces: number, pollers = 1): number =>
-    Math.max(pollEvery, (pieces * 1000) / (source.rate() * ownPart)) * pollers,
+  pauseAfter: (source: ListSource, pieces: number, pollers = 1): number =>
+    Math.max(pollIntervalMs, (pieces * 1000) / (source.rate() * ownPart)) * pollers,
   /** The pause after the source said that it is asked too often. */
-  restWhenBusy: (before: number, pollers = 1): number => Math.min(longestRest * pollers, before * 2),
+  pauseWhenBusy: (before: number, pollers = 1): number => Math.min(longestRest * pollers, before * 2),
 };
--- a/src/duty/census.ts
+++ b/src/duty/quota-coverage.ts
@@ -6,18 +6,18 @@
  */
 import { Instant } from '../common/instant.js';
 
-export type Census = {
+export type QuotaCoverage = {
   /** Forgets all: this node holds the duty under a new term from now on. */
-  readonly begin: () => void;
+  readonly reset: () => void;
   /** The proxy told what it used, after the holder had ended listening; `isAlone`: it may let in its even part alone. */
-  readonly hear: (node: string, isAlone: boolean) => void;
+  readonly markHeard: (node: string, isAlone: boolean) => void;
   /** How many proxies one of them knew within the span of this team's quota. */
-  readonly learn: (team: string, proxies: number) => void;
+  readonly recordProxyCount: (team: string, proxies: number) => void;
   /** The most proxies that may let in requests of this team. */
-  readonly count: (team: string) => number;
+  readonly proxyCount: (team: string) => number;
   readonly isComplete: (team: string, span: number) => boolean;
   /** Those on the roster that were not heard yet and not asked lately; they count as asked now. */
-  readonly toAsk: () => readonly string[];
+  readonly takeUnasked: () => readonly string[];
 };
 
 const askEvery = 500;
@@ -25,8 +25,8 @@
 /** The roster itself is looked at a few times a second. */
 const lookEvery = 50;
 
-export const Census = {
-  of(roster: () => readonly string[]): Census {
+export const QuotaCoverage = {
+  of(roster: () => readonly string[]): QuotaCoverage {
     let began = Instant.now();
     let heard = new Set<string>();
     let alone = new Map<string, Instant>();
@@ -42,8 +42,8 @@
       return missing;
     };
     return {
-      count,
-      begin() {
+      proxyCount: count,
+      reset() {
         began = Instant.now();
         heard = new Set();
         alone = new Map();
@@ -51,7 +51,7 @@
         askedAt = Instant.past;
         lookedAt = Instant.past;
       },
-      hear(node, isAlone) {
+      markHeard(node, isAlone) {
         if (isAlone) {
           alone.set(node, Instant.now());
           return;
@@ -61,7 +61,7 @@
         heard.add(node);
         lookedAt = Instant.past;
       },
-      learn(team, proxies) {
+      recordProxyCount(team, proxies) {
         told.set(team, Math.max(proxies, told.get(team) ?? 0));
       },
       isComplete(team, span) {
@@ -70,7 +70,7 @@
         if (Instant.since(began) > span) return true;
         return heard.size >= count(team) && unheard().length === 0;
       },
-      toAsk() {
+      takeUnasked() {
         if (Instant.since(askedAt) < askEvery) return [];
         askedAt = Instant.now();
         return unheard();
--- a/src/duty/quota-duty.ts
+++ b/src/duty/quota-duty.ts
@@ -6,32 +6,36 @@
 // over, it grants nothing beyond a proxy's even part, for that is what a proxy not heard yet lets in alone.
 import { Instant } from '../common/instant.js';
 import type { Frame } from '../wire/frame.js';
-import { Census } from './census.js';
-import { Ledger } from './ledger.js';
+import { QuotaCoverage } from './quota-coverage.js';
+import { UsageWindow } from './usage-window.js';
 
 export type QuotaDuty = {
-  readonly look: (epoch: number) => void;
-  readonly take: (frame: QuotaDuty.Tokens, epoch: number) => QuotaDuty.Tokens | undefined;
+  readonly observeEpoch: (epoch: number) => void;
+  readonly receive: (frame: QuotaDuty.Tokens, epoch: number) => QuotaDuty.Tokens | undefined;
   readonly usage: () => Readonly<Record<string, QuotaDuty.Usage>>;
 };
 
 export declare namespace QuotaDuty {
   type Tokens = Extract<Frame.Body, { kind: 'tokens' }>;
-  type Quota = Partial<Ledger.Work> & { readonly span: number };
-  type Usage = { readonly used: Ledger.Work; readonly quota: QuotaDuty.Quota; readonly proxies: number };
+  type Quota = Partial<UsageWindow.Usage> & { readonly span: number };
+  type Usage = {
+    readonly used: UsageWindow.Usage;
+    readonly quota: QuotaDuty.Quota;
+    readonly proxies: number;
+  };
 }
 
-type Told = { readonly mine: Ledger.Work; readonly at: Instant; readonly isLive: boolean };
-type Team = { readonly told: Map<string, Told>; readonly aging: Set<string>; sum: Ledger.Work };
+type Told = { readonly mine: UsageWindow.Usage; readonly at: Instant; readonly isLive: boolean };
+type Team = { readonly told: Map<string, Told>; readonly aging: Set<string>; sum: UsageWindow.Usage };
 type Proxy = { readonly teams: Set<string>; heard: Instant; isKnown: boolean };
 
-const grantFor = 2000;
+const grantLifetimeMs = 2000;
 const listenFor = 1200;
 const silentAfter = 3000;
 const forgetAfter = 60_000;
 const lookEvery = 50;
 
-const least = (a: Ledger.Work, b: Ledger.Work): Ledger.Work => ({
+const least = (a: UsageWindow.Usage, b: UsageWindow.Usage): UsageWindow.Usage => ({
   requests: Math.max(0, Math.floor(Math.min(a.requests, b.requests))),
   prompt: Math.max(0, Math.floor(Math.min(a.prompt, b.prompt))),
 });
@@ -41,13 +45,13 @@
   const isEarlier = uses.every(({ proxies = 0 }) => proxies === 0);
   return uses.length > 0 && !isEarlier && (whole || !life);
 };
-const less = (a: Ledger.Work, b: Ledger.Work): Ledger.Work => ({
+const less = (a: UsageWindow.Usage, b: UsageWindow.Usage): UsageWindow.Usage => ({
   requests: a.requests - b.requests,
   prompt: a.prompt - b.prompt,
 });
 
 /** Asks a proxy, of any node, to tell all that it used; one that does not know it takes it for an empty grant. */
-const question = {
+const reportRequest = {
   kind: 'tokens',
   epoch: 0,
   batches: [],
@@ -59,16 +63,16 @@
 } as const satisfies Omit<QuotaDuty.Tokens, 'node'>;
 
 export const QuotaDuty = {
-  grantFor,
-  question,
+  grantFor: grantLifetimeMs,
+  question: reportRequest,
   of(needs: {
     readonly quotaOf: (team: string) => QuotaDuty.Quota | undefined;
     /** The live proxies that this node knows of, of which it may miss some. */
     readonly roster: () => readonly string[];
     /** Asks a proxy to tell all that it used. */
-    readonly ask: (node: string) => void;
+    readonly requestReport: (node: string) => void;
   }): QuotaDuty {
-    const census = Census.of(needs.roster);
+    const census = QuotaCoverage.of(needs.roster);
     let teams = new Map<string, Team>();
     let proxies = new Map<string, Proxy>();
     let silent: readonly string[] = [];
@@ -81,11 +85,11 @@
       return proxy;
     };
     const set = (name: string, node: string, told: Told | undefined) => {
-      const team = teams.get(name) ?? { told: new Map(), aging: new Set(), sum: Ledger.none };
+      const team = teams.get(name) ?? { told: new Map(), aging: new Set(), sum: UsageWindow.zero };
       teams.set(name, team);
-      team.sum = Ledger.sum(
-        less(team.sum, team.told.get(node)?.mine ?? Ledger.none),
-        told?.mine ?? Ledger.none,
+      team.sum = UsageWindow.sum(
+        less(team.sum, team.told.get(node)?.mine ?? UsageWindow.zero),
+        told?.mine ?? UsageWindow.zero,
       );
       if (told) team.told.set(node, told);
       else team.told.delete(node);
@@ -106,52 +110,52 @@
       return silent;
     };
     // What all proxies used and hold; one that is silent may have let in its even part by now.
-    const count = (name: string, quota: QuotaDuty.Quota): Ledger.Work => {
+    const count = (name: string, quota: QuotaDuty.Quota): UsageWindow.Usage => {
       const team = teams.get(name);
-      if (!team) return Ledger.none;
-      const part = 1 / census.count(name);
-      let extra = Ledger.none;
+      if (!team) return UsageWindow.zero;
+      const part = 1 / census.proxyCount(name);
+      let extra = UsageWindow.zero;
       for (const node of new Set([...silentNow(), ...team.aging])) {
         const one = team.told.get(node);
         if (!one) continue;
         const since = Instant.since(one.isLive ? proxyOf(node).heard : one.at);
-        if (since > quota.span + grantFor) set(name, node, undefined);
-        if (since <= silentAfter || since > quota.span + grantFor) continue;
+        if (since > quota.span + grantLifetimeMs) set(name, node, undefined);
+        if (since <= silentAfter || since > quota.span + grantLifetimeMs) continue;
         const { mine } = one;
-        extra = Ledger.sum(extra, {
+        extra = UsageWindow.sum(extra, {
           requests: Math.max(0, (quota.requests ?? 0) * part - mine.requests),
           prompt: Math.max(0, (quota.prompt ?? 0) * part - mine.prompt),
         });
       }
-      return Ledger.sum(team.sum, extra);
+      return UsageWindow.sum(team.sum, extra);
     };
-    const note = (node: string, use: Frame.Use, given: Ledger.Work) => {
-      const mine = Ledger.sum(use.used, Ledger.sum(use.holds, given));
+    const note = (node: string, use: Frame.Use, given: UsageWindow.Usage) => {
+      const mine = UsageWindow.sum(use.used, UsageWindow.sum(use.holds, given));
       const isLive = proxyOf(node).isKnown;
       const isNothing = isLive && mine.requests === 0 && mine.prompt === 0;
       set(use.team, node, isNothing ? undefined : { mine, at: Instant.now(), isLive });
     };
-    const leftOfEvenPart = (use: Frame.Use, whole: Ledger.Work): Ledger.Work => {
-      const proxies = census.count(use.team);
+    const leftOfEvenPart = (use: Frame.Use, whole: UsageWindow.Usage): UsageWindow.Usage => {
+      const proxies = census.proxyCount(use.team);
       const part = { requests: whole.requests / proxies, prompt: whole.prompt / proxies };
-      return less(part, Ledger.sum(use.used, use.holds));
+      return less(part, UsageWindow.sum(use.used, use.holds));
     };
-    const leftFor = (use: Frame.Use, quota: QuotaDuty.Quota): Ledger.Work => {
+    const leftFor = (use: Frame.Use, quota: QuotaDuty.Quota): UsageWindow.Usage => {
       const whole = {
         requests: quota.requests ?? Number.MAX_SAFE_INTEGER,
         prompt: quota.prompt ?? Number.MAX_SAFE_INTEGER,
       };
       const left = less(whole, count(use.team, quota));
-      if (census.isComplete(use.team, quota.span + grantFor)) return left;
-      for (const node of census.toAsk()) needs.ask(node);
+      if (census.isComplete(use.team, quota.span + grantLifetimeMs)) return left;
+      for (const node of census.takeUnasked()) needs.requestReport(node);
       return least(left, leftOfEvenPart(use, whole));
     };
     const grant = (node: string, use: Frame.Use): Frame.Grant | undefined => {
       const quota = needs.quotaOf(use.team);
       if (!quota) return undefined;
-      note(node, use, Ledger.none);
+      note(node, use, UsageWindow.zero);
       const left = leftFor(use, quota);
-      const ahead = 1 / (2 * census.count(use.team));
+      const ahead = 1 / (2 * census.proxyCount(use.team));
       const given = least(left, {
         requests: Math.max(use.must.requests, Math.min(use.wanted.requests, left.requests * ahead)),
         prompt: Math.max(use.must.prompt, Math.min(use.wanted.prompt, left.prompt * ahead)),
@@ -181,12 +185,12 @@
       epoch = under;
       teams = new Map();
       proxies = new Map();
-      census.begin();
+      census.reset();
       lookedAt = Instant.past;
       began = Instant.now();
     };
     return {
-      look,
+      observeEpoch: look,
       usage() {
         const list = [...teams].flatMap(([team, { told }]) => {
           const quota = needs.quotaOf(team);
@@ -194,17 +198,17 @@
         });
         return Object.fromEntries(list);
       },
-      take(frame, under) {
+      receive(frame, under) {
         look(under);
         const life = hear(frame);
         const whole = frame.life === true && !life;
         const response = { ...frame, epoch: under, batches: [], wanted: 0, uses: [], life, whole };
-        for (const { team, proxies: known = 0 } of frame.uses) census.learn(team, known);
+        for (const { team, proxies: known = 0 } of frame.uses) census.recordProxyCount(team, known);
         if (Instant.since(began) < listenFor) {
           for (const use of frame.uses) note(frame.node, use, use.must);
           return frame.life ? { ...response, grants: [], listening: true } : undefined;
         }
-        if (!whole) census.hear(frame.node, mayBeAlone(frame));
+        if (!whole) census.markHeard(frame.node, mayBeAlone(frame));
         const grants = frame.uses.flatMap((use) => grant(frame.node, use) ?? []);
         return { ...response, grants, listening: false };
       },
--- a/src/duty/rounds.ts
+++ b/src/duty/repeating-task.ts
@@ -2,10 +2,10 @@
 // is told of and followed by the usual rest; stopping waits for the step under way.
 import { Timer } from '../common/timer.js';
 
-export type Rounds = { readonly stop: () => Promise<void> };
+export type RepeatingTask = { readonly stop: () => Promise<void> };
 
-export const Rounds = {
-  run(step: () => Promise<number>, usualRest: number, onFailure: (error: unknown) => void): Rounds {
+export const RepeatingTask = {
+  run(step: () => Promise<number>, usualRest: number, onFailure: (error: unknown) => void): RepeatingTask {
     const stop = new AbortController();
     const run = async () => {
       while (!stop.signal.aborted) {
--- a/src/duty/report-duty.ts
+++ b/src/duty/report-duty.ts
@@ -11,11 +11,11 @@
 };
 
 export declare namespace ReportDuty {
-  type Needs = {
+  type Dependencies = {
     readonly source: ReportSource;
     readonly isHeld: () => boolean;
     readonly servers: () => readonly Document.Server[];
-    readonly tell: (loads: readonly ReportSource.Load[]) => void;
+    readonly publish: (loads: readonly ReportSource.Load[]) => void;
   };
 }
 
@@ -37,7 +37,7 @@
   Math.abs(a.bound - b.bound) < 0.05;
 
 export const ReportDuty = {
-  run(needs: ReportDuty.Needs): ReportDuty {
+  run(needs: ReportDuty.Dependencies): ReportDuty {
     const stop = new AbortController();
     const told = new Map<string, Told>();
     const rests = new Map<string, Rest>();
@@ -64,7 +64,7 @@
         return !isAlike(known?.load, load) || round - known!.round >= anewAfter;
       });
       for (const load of fresh) told.set(load.instance, { load, round });
-      if (fresh.length > 0 && needs.isHeld()) needs.tell(fresh);
+      if (fresh.length > 0 && needs.isHeld()) needs.publish(fresh);
     };
     const run = async () => {
       for (let round = 0; !stop.signal.aborted; round += 1) {
--- a/src/duty/purse.ts
+++ b/src/duty/token-pool.ts
@@ -3,41 +3,41 @@
 // fifths add up exactly.
 import { Instant } from '../common/instant.js';
 
-export type Purse = {
-  readonly add: (batches: readonly Purse.Batch[]) => void;
-  readonly take: (amount: number, newest?: boolean) => readonly Purse.Batch[] | undefined;
+export type TokenPool = {
+  readonly add: (batches: readonly TokenPool.Batch[]) => void;
+  readonly take: (amount: number, newest?: boolean) => readonly TokenPool.Batch[] | undefined;
   /** How much is held of what stays good for at least the span given, in milliseconds, or else of all. */
   readonly total: (lasting?: number) => number;
 };
 
-export declare namespace Purse {
+export declare namespace TokenPool {
   type Batch = { readonly amount: number; readonly age: number };
 }
 
 type Held = { amount: number; readonly born: Instant };
 
-const lifetime = 5000;
+const lifetimeMs = 5000;
 const grain = 500;
 
-export const Purse = {
-  lifetime,
-  of(): Purse {
+export const TokenPool = {
+  lifetime: lifetimeMs,
+  of(): TokenPool {
     let held: Held[] = [];
     const expire = () => {
-      if (held.length > 0 && Instant.since(held[0]!.born) > lifetime)
-        held = held.filter((one) => Instant.since(one.born) <= lifetime);
+      if (held.length > 0 && Instant.since(held[0]!.born) > lifetimeMs)
+        held = held.filter((one) => Instant.since(one.born) <= lifetimeMs);
     };
     const total = (lasting = 0) => {
       expire();
       return held
-        .filter((one) => Instant.since(one.born) <= lifetime - lasting)
+        .filter((one) => Instant.since(one.born) <= lifetimeMs - lasting)
         .reduce((sum, one) => sum + one.amount, 0);
     };
     return {
       total,
       add(batches) {
         for (const { amount, age } of batches) {
-          if (!(amount > 0) || !(age >= 0) || age > lifetime) continue;
+          if (!(amount > 0) || !(age >= 0) || age > lifetimeMs) continue;
           const born = Instant.after(-age);
           const near = held.find((one) => born >= one.born && born - one.born < grain);
           if (near) near.amount += amount;
@@ -46,7 +46,7 @@
       },
       take(amount, newest = false) {
         if (total() < amount) return undefined;
-        const taken: Purse.Batch[] = [];
+        const taken: TokenPool.Batch[] = [];
         let left = amount;
         for (const one of newest ? [...held].reverse() : held) {
           const part = Math.min(one.amount, left);
--- a/src/duty/ledger.ts
+++ b/src/duty/usage-window.ts
@@ -2,27 +2,27 @@
 // the span, so the sum is never too low.
 import { Instant } from '../common/instant.js';
 
-export type Ledger = {
-  readonly add: (work: Ledger.Work) => () => void;
-  readonly total: () => Ledger.Work;
-  readonly freesIn: () => number;
+export type UsageWindow = {
+  readonly add: (work: UsageWindow.Usage) => () => void;
+  readonly total: () => UsageWindow.Usage;
+  readonly nextExpiryIn: () => number;
 };
 
-export declare namespace Ledger {
-  type Work = { readonly requests: number; readonly prompt: number };
+export declare namespace UsageWindow {
+  type Usage = { readonly requests: number; readonly prompt: number };
 }
 
 type Slot = { requests: number; prompt: number; readonly from: Instant };
 
 const slots = 40;
 
-export const Ledger = {
-  none: { requests: 0, prompt: 0 } as Ledger.Work,
-  sum: (a: Ledger.Work, b: Ledger.Work): Ledger.Work => ({
+export const UsageWindow = {
+  zero: { requests: 0, prompt: 0 } as UsageWindow.Usage,
+  sum: (a: UsageWindow.Usage, b: UsageWindow.Usage): UsageWindow.Usage => ({
     requests: a.requests + b.requests,
     prompt: a.prompt + b.prompt,
   }),
-  of(span: number): Ledger {
+  of(span: number): UsageWindow {
     const grain = span / slots;
     let held: Slot[] = [];
     const prune = () => {
@@ -43,9 +43,9 @@
       },
       total() {
         prune();
-        return held.reduce<Ledger.Work>(Ledger.sum, Ledger.none);
+        return held.reduce<UsageWindow.Usage>(UsageWindow.sum, UsageWindow.zero);
       },
-      freesIn() {
+      nextExpiryIn() {
         prune();
         const first = held[0];
         return first ? Math.max(0, span + grain - Instant.since(first.from)) : 0;
--- a/src/proxy/filter.ts
+++ b/src/proxy/filter.ts
@@ -16,7 +16,7 @@
 import type { Dialect } from './dialect.js';
 import type { FirstManifest } from './first-manifest.js';
 import type { Meters } from './meters.js';
-import type { Quotas } from './quotas.js';
+import type { QuotaLimiter } from './quota-limiter.js';
 import type { Shares } from './shares.js';
 import type { Stall } from './stall.js';
 
@@ -42,7 +42,7 @@
     readonly ejector: Ejector;
     readonly failures: Failures;
     readonly budget: Budget;
-    readonly quotas: Quotas;
+    readonly quotas: QuotaLimiter;
     readonly stall: Stall;
     readonly ramp: Ramp;
     readonly placement: Placement;
--- a/src/proxy/filters/attempt.ts
+++ b/src/proxy/filters/attempt.ts
@@ -17,7 +17,7 @@
 import { CacheSalt } from '../cache-salt.js';
 import { Call } from '../call.js';
 import type { Filter } from '../filter.js';
-import { Hygiene } from '../hygiene.js';
+import { HeaderFilter } from '../header-filter.js';
 import { Responses } from '../responses.js';
 
 /** The outcome of all attempts of a call. */
@@ -36,7 +36,7 @@
   const { group, server } = pick;
   const body = CacheSalt.body(call, step.model, group.wall);
   const headers: Record<string, string> = {
-    ...CacheSalt.headers(call, group.wall, Hygiene.up(incoming.headers, dialect)),
+    ...CacheSalt.headers(call, group.wall, HeaderFilter.requestHeaders(incoming.headers, dialect)),
     ...dialect.requestHeaders({ id, timeLeft: left, hops, priority: rule?.priority, lastEventId: after }),
   };
   if (group.proof) headers[group.proof.header] = server.instance;
@@ -228,7 +228,7 @@
 /** Counts the call against the team's share of the servers until its response has ended. */
 const acquireShare = (needs: Filter.Dependencies, call: Call): boolean => {
   const rule = Call.require(call, 'rule');
-  const leave = needs.shares.enter(
+  const leave = needs.shares.acquire(
     rule.steps[0]?.groups.join() ?? '',
     Call.require(call, 'team').name,
     countCapacity(Call.require(call, 'compiled'), rule),
--- a/src/proxy/filters/commit.ts
+++ b/src/proxy/filters/commit.ts
@@ -9,7 +9,7 @@
 import type { UpstreamTry } from '../../upstream/upstream-try.js';
 import { Call } from '../call.js';
 import type { Filter } from '../filter.js';
-import { Hygiene } from '../hygiene.js';
+import { HeaderFilter } from '../header-filter.js';
 import { Responses } from '../responses.js';
 import { StreamResponse } from '../stream-response.js';
 
@@ -80,7 +80,7 @@
   }
   count(needs, call, `response_${trial.status}`);
   outgoing.writeHead(trial.status, {
-    ...Hygiene.down(trial.headers, dialect),
+    ...HeaderFilter.responseHeaders(trial.headers, dialect),
     ...createResponseHeaders(call, trial, tries),
     'bramblebend-ran': 'unknown',
     'content-length': trial.body.length,
@@ -112,7 +112,7 @@
     createResponseHeaders(call, trial, tries),
   ).relay();
   count(needs, call, result === 'done' ? 'served' : `broken_by_${result}`);
-  if (result !== 'done') needs.meters.breaks.inc({ side: result });
+  if (result !== 'done') needs.meters.streamBreaks.inc({ side: result });
   return 'answered';
 };
 
--- a/src/proxy/filters/quota.ts
+++ b/src/proxy/filters/quota.ts
@@ -21,7 +21,7 @@
       retryAfter: admitted.retryAfter,
     });
   }
-  call.refund = admitted.undo;
+  call.refund = admitted.refund;
   return 'next';
 };
 
--- a/src/proxy/first-manifest.ts
+++ b/src/proxy/first-manifest.ts
@@ -5,7 +5,7 @@
 import { Timer } from '../common/timer.js';
 
 export type FirstManifest = {
-  readonly came: () => void;
+  readonly markArrived: () => void;
   readonly wait: (left: number | undefined) => Promise<void>;
 };
 
@@ -18,7 +18,7 @@
     const waiting = new Set<() => void>();
     let hasCome = false;
     return {
-      came() {
+      markArrived() {
         hasCome = true;
         for (const goOn of waiting) goOn();
       },
--- a/src/proxy/hygiene.ts
+++ b/src/proxy/header-filter.ts
@@ -4,7 +4,7 @@
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dialect } from './dialect.js';
 
-export type Hygiene = Readonly<Record<string, string>>;
+export type HeaderFilter = Readonly<Record<string, string>>;
 
 const hopByHop = new Set([
   'connection',
@@ -31,8 +31,8 @@
 
 const isOurs = (name: string): boolean => ours.some((start) => name.startsWith(start));
 
-export const Hygiene = {
-  up(
+export const HeaderFilter = {
+  requestHeaders(
     headers: IncomingHttpHeaders,
     { isKept, isNeeded }: Pick<Dialect, 'isKept' | 'isNeeded'>,
   ): Record<string, string> {
@@ -50,7 +50,7 @@
       ),
     );
   },
-  down(
+  responseHeaders(
     headers: IncomingHttpHeaders,
     { isNeeded }: Pick<Dialect, 'isNeeded'>,
   ): Record<string, string | string[]> {
--- a/src/proxy/departures.ts
+++ b/src/proxy/leaving-servers.ts
@@ -4,18 +4,18 @@
 import { Timer } from '../common/timer.js';
 import type { View } from '../manifest/view.js';
 
-export type Departures = {
-  readonly hear: (instances: readonly string[]) => void;
+export type LeavingServers = {
+  readonly add: (instances: readonly string[]) => void;
   /** The view with what was heard; what an older list was told of is forgotten. */
-  readonly over: (view: View) => View;
+  readonly applyTo: (view: View) => View;
   readonly instances: () => readonly string[];
   readonly stop: () => void;
 };
 
 const keptFor = 10_000;
 
-export const Departures = {
-  of(needs: { readonly serial: () => number; readonly onChange: () => void }): Departures {
+export const LeavingServers = {
+  of(needs: { readonly serial: () => number; readonly onChange: () => void }): LeavingServers {
     const until = new Map<string, Instant>();
     let serial = 0;
     const forget = (isOver: (end: Instant) => boolean): boolean => {
@@ -28,7 +28,7 @@
     });
     late.stop();
     return {
-      hear(instances) {
+      add(instances) {
         if (serial !== needs.serial()) forget(() => true);
         serial = needs.serial();
         const isNew = instances.some((instance) => !until.has(instance));
@@ -36,7 +36,7 @@
         late.reschedule(keptFor + 1);
         if (isNew) needs.onChange();
       },
-      over(view) {
+      applyTo(view) {
         if (view.platform.serial !== serial) forget(() => true);
         if (until.size === 0) return view;
         const leaving = [...new Set([...view.platform.leaving, ...until.keys()])];
--- a/src/proxy/meters.ts
+++ b/src/proxy/meters.ts
@@ -24,14 +24,16 @@
         'extra',
       ]),
       refusals: counter('drops_total', 'requests dropped, by code', ['code']),
-      dark: counter('servers_dark_total', 'times a server went dark to this proxy, by group', ['group']),
+      darkServers: counter('servers_dark_total', 'times a server went dark to this proxy, by group', [
+        'group',
+      ]),
       ejections: counter('ejections_total', 'ejections by group', ['group']),
-      wrong: counter(
+      wrongIdentities: counter(
         'wrong_identities_total',
         'connections closed since another service or instance answered',
         ['group'],
       ),
-      breaks: counter('stream_breaks_total', 'streams broken after commit, by side', ['side']),
+      streamBreaks: counter('stream_breaks_total', 'streams broken after commit, by side', ['side']),
       firstByte: metrics.histogram(
         'first_byte_seconds',
         'time from arrival to commit, by rule',
--- a/src/proxy/program.ts
+++ b/src/proxy/program.ts
@@ -27,11 +27,11 @@
 import { Warmup } from '../upstream/warmup.js';
 import type { Frame } from '../wire/frame.js';
 import type { Link } from '../wire/link.js';
-import { Departures } from './departures.js';
 import { Dialect } from './dialect.js';
 import { FirstManifest } from './first-manifest.js';
+import { LeavingServers } from './leaving-servers.js';
 import { Meters } from './meters.js';
-import { Quotas } from './quotas.js';
+import { QuotaLimiter } from './quota-limiter.js';
 import { Ready } from './ready.js';
 import { ProxyServer } from './server.js';
 import { Shares } from './shares.js';
@@ -56,7 +56,7 @@
     >;
     const sendUp = (told: Told) =>
       uplink.send({ kind: 'tokens', node: startup.node, epoch: 0, grants: [], ...told });
-    const quotas = Quotas.of({
+    const quotas = QuotaLimiter.of({
       proxies: () => roster.length,
       send: (serial, uses, told) => sendUp({ batches: [], wanted: 0, serial, uses, ...told }),
     });
@@ -75,7 +75,7 @@
     );
     const tending = Timer.every(500, () => {
       budget.maintain();
-      quotas.tend();
+      quotas.maintain();
       const failed = failures.untold();
       if (failed.length > 0) uplink.send({ kind: 'failures', failed });
     });
@@ -99,7 +99,7 @@
     const pool = Pool.of({
       newest: () => compiled,
       onWrong(server, cause) {
-        meters.wrong.inc({ group: server.group });
+        meters.wrongIdentities.inc({ group: server.group });
         const facts = { instance: server.instance, why: Failure.text(cause), ...Failure.info(cause) };
         if (prover.isDark(server.instance)) ring.info('wrong identity still', facts);
         else ring.error('wrong identity', facts);
@@ -124,7 +124,7 @@
       newest: () => compiled,
       isFresh: ramp.isFresh,
       onDark({ instance, group }) {
-        meters.dark.inc({ group });
+        meters.darkServers.inc({ group });
         ramp.doubt(instance);
         ring.info('dark', { instance });
         uplink.send({ kind: 'cold', instance, age: 0, dark: true });
@@ -164,17 +164,17 @@
     const enforce = () => {
       if (!voucher.isVouched()) return;
       const before = compiled;
-      compiled = Compiled.of(departures.over(feed.view()));
+      compiled = Compiled.of(departures.applyTo(feed.view()));
       if (!compiled) return;
       feedGently(before, compiled);
-      if (!before) firstManifest.came();
+      if (!before) firstManifest.markArrived();
       limit(compiled.limits);
       ring.info('in force', { stamp: Stamp.text(compiled.stamp) });
       pool.retain(compiled);
       ejector.retain(compiled);
       prover.retain(compiled);
     };
-    const departures = Departures.of({
+    const departures = LeavingServers.of({
       serial: () => feed.view().platform.serial,
       onChange: () => enforce(),
     });
@@ -267,7 +267,7 @@
         roster = proxies;
       },
       onLoads: placement.hear,
-      onLeaving: departures.hear,
+      onLeaving: departures.add,
       onFailures: failures.hear,
       onCold({ instance, age, dark }) {
         if (dark) {
@@ -279,8 +279,8 @@
         }
       },
       onTokens({ epoch, batches, serial, grants, ...told }) {
-        if (serial > 0) quotas.grant(epoch, serial, grants, told);
-        else if (told.whole) quotas.tellAll();
+        if (serial > 0) quotas.applyGrants(epoch, serial, grants, told);
+        else if (told.whole) quotas.reportAll();
         else budget.grant(epoch, batches);
       },
       note: ring.info,
--- a/src/proxy/quotas.ts
+++ b/src/proxy/quota-limiter.ts
@@ -9,30 +9,30 @@
 
 import { Instant } from '../common/instant.js';
 import { Timer } from '../common/timer.js';
-import { Ledger } from '../duty/ledger.js';
+import { UsageWindow } from '../duty/usage-window.js';
 import type { Compiled } from '../manifest/compiled.js';
 import type { Document } from '../manifest/document.js';
 import type { Frame } from '../wire/frame.js';
-import { MostProxies } from './most-proxies.js';
+import { PeakProxyCount } from './peak-proxy-count.js';
 
-export type Quotas = {
-  readonly admit: (team: Compiled.Team, prompt: number) => Promise<Quotas.Verdict>;
-  readonly grant: (
+export type QuotaLimiter = {
+  readonly admit: (team: Compiled.Team, prompt: number) => Promise<QuotaLimiter.Verdict>;
+  readonly applyGrants: (
     epoch: number,
     serial: number,
     grants: readonly Frame.Grant[],
     told?: { readonly life?: boolean; readonly whole?: boolean; readonly listening?: boolean },
   ) => void;
   /** The duty's holder, which has not heard this proxy yet, asks for all that it used. */
-  readonly tellAll: () => void;
-  readonly tend: () => void;
+  readonly reportAll: () => void;
+  readonly maintain: () => void;
 };
 
-export declare namespace Quotas {
+export declare namespace QuotaLimiter {
   type Verdict =
-    | { readonly kind: 'in'; readonly undo: () => void }
+    | { readonly kind: 'in'; readonly refund: () => void }
     | { readonly kind: 'over'; readonly retryAfter: number };
-  type Needs = {
+  type Dependencies = {
     readonly proxies: () => number;
     readonly send: (
       serial: number,
@@ -43,18 +43,18 @@
 }
 
 type Account = {
-  readonly ledger: Ledger;
+  readonly ledger: UsageWindow;
   readonly span: number;
-  holds: Ledger.Work;
+  holds: UsageWindow.Usage;
   until: Instant;
-  readonly waiting: Set<Ledger.Work>;
-  lately: Ledger.Work;
+  readonly waiting: Set<UsageWindow.Usage>;
+  lately: UsageWindow.Usage;
   touched: Instant;
   chargedAt: Instant;
   isSteady: boolean;
-  believed: Ledger.Work | undefined;
+  believed: UsageWindow.Usage | undefined;
 };
-type Told = ReadonlyMap<string, { readonly spoken: Ledger.Work; readonly isWaiting: boolean }>;
+type Told = ReadonlyMap<string, { readonly spoken: UsageWindow.Usage; readonly isWaiting: boolean }>;
 type Question = {
   readonly serial: number;
   told: Told;
@@ -70,7 +70,7 @@
 const waitWhileYoung = 2500;
 const youngFor = 5000;
 
-const isEqual = (a: Ledger.Work, b: Ledger.Work | undefined): boolean =>
+const isEqual = (a: UsageWindow.Usage, b: UsageWindow.Usage | undefined): boolean =>
   a.requests === b?.requests && a.prompt === b.prompt;
 
 const ask = (serial: number, onLate: (question: Question) => void): Question => {
@@ -91,11 +91,11 @@
   return made;
 };
 
-export const Quotas = {
-  of(needs: Quotas.Needs): Quotas {
+export const QuotaLimiter = {
+  of(needs: QuotaLimiter.Dependencies): QuotaLimiter {
     const accounts = new Map<string, Account>();
     let serial = 0;
-    const most = MostProxies.of();
+    const most = PeakProxyCount.of();
     let epoch = 0;
     const started = Instant.now();
     const isYoung = () => Instant.since(started) < youngFor;
@@ -109,12 +109,12 @@
         return known;
       }
       const made = {
-        ledger: Ledger.of(span),
+        ledger: UsageWindow.of(span),
         span,
-        holds: Ledger.none,
+        holds: UsageWindow.zero,
         until: Instant.past,
-        waiting: new Set<Ledger.Work>(),
-        lately: Ledger.none,
+        waiting: new Set<UsageWindow.Usage>(),
+        lately: UsageWindow.zero,
         touched: Instant.now(),
         chargedAt: Instant.past,
         isSteady: false,
@@ -123,9 +123,9 @@
       accounts.set(team, made);
       return made;
     };
-    const holdsOf = (account: Account): Ledger.Work =>
-      Instant.isPast(account.until) ? Ledger.none : account.holds;
-    const spokenOf = (account: Account) => Ledger.sum(account.ledger.total(), holdsOf(account));
+    const holdsOf = (account: Account): UsageWindow.Usage =>
+      Instant.isPast(account.until) ? UsageWindow.zero : account.holds;
+    const spokenOf = (account: Account) => UsageWindow.sum(account.ledger.total(), holdsOf(account));
     const isToTell = (account: Account): boolean =>
       !isKnown ||
       !isEqual(spokenOf(account), account.believed) ||
@@ -154,8 +154,8 @@
       team,
       used: account.ledger.total(),
       holds: holdsOf(account),
-      wanted: Instant.since(account.chargedAt) < grantFor ? account.lately : Ledger.none,
-      must: [...account.waiting].reduce(Ledger.sum, Ledger.none),
+      wanted: Instant.since(account.chargedAt) < grantFor ? account.lately : UsageWindow.zero,
+      must: [...account.waiting].reduce(UsageWindow.sum, UsageWindow.zero),
       proxies: most.within(account.span + grantFor),
     });
     const tell = (made: Question) => {
@@ -171,7 +171,7 @@
         ]),
       );
       const uses = told.map(useOf);
-      for (const [, account] of told) account.lately = Ledger.none;
+      for (const [, account] of told) account.lately = UsageWindow.zero;
       if (needs.send(made.serial, uses, { life: isKnown || whole, whole })) return;
       isKnown = false;
       fail(made);
@@ -190,22 +190,22 @@
       else tell(made);
       return made;
     };
-    const charge = (account: Account, work: Ledger.Work): Quotas.Verdict => {
-      account.lately = Ledger.sum(account.lately, work);
+    const charge = (account: Account, work: UsageWindow.Usage): QuotaLimiter.Verdict => {
+      account.lately = UsageWindow.sum(account.lately, work);
       account.isSteady = Instant.since(account.chargedAt) < grantFor;
       account.chargedAt = Instant.now();
-      return { kind: 'in', undo: account.ledger.add(work) };
+      return { kind: 'in', refund: account.ledger.add(work) };
     };
-    const spend = (account: Account, work: Ledger.Work): Quotas.Verdict | undefined => {
+    const spend = (account: Account, work: UsageWindow.Usage): QuotaLimiter.Verdict | undefined => {
       const { requests, prompt } = holdsOf(account);
       if (requests < work.requests || prompt < work.prompt) return undefined;
       account.holds = { requests: requests - work.requests, prompt: prompt - work.prompt };
       return charge(account, work);
     };
-    const spendAlone = (account: Account, quota: Document.Quota, work: Ledger.Work) => {
-      const used = Ledger.sum(account.ledger.total(), work);
-      most.see(needs.proxies());
-      const part = 1 / most.ever();
+    const spendAlone = (account: Account, quota: Document.Quota, work: UsageWindow.Usage) => {
+      const used = UsageWindow.sum(account.ledger.total(), work);
+      most.record(needs.proxies());
+      const part = 1 / most.allTime();
       const isWithin =
         used.requests <= (quota.requests ?? Number.POSITIVE_INFINITY) * part &&
         used.prompt <= (quota.prompt ?? Number.POSITIVE_INFINITY) * part;
@@ -213,7 +213,7 @@
     };
     return {
       async admit({ name, quota }, prompt) {
-        if (!quota) return { kind: 'in', undo: () => {} };
+        if (!quota) return { kind: 'in', refund: () => {} };
         const work = { requests: 1, prompt };
         const account = accountOf(name, quota);
         const asked = Instant.now();
@@ -233,10 +233,13 @@
         const isAlone = !isAnswered && !isYoung();
         const last = spend(account, work) ?? (isAlone ? spendAlone(account, quota, work) : undefined);
         return (
-          last ?? { kind: 'over', retryAfter: Math.min(quota.span, Math.max(1000, account.ledger.freesIn())) }
+          last ?? {
+            kind: 'over',
+            retryAfter: Math.min(quota.span, Math.max(1000, account.ledger.nextExpiryIn())),
+          }
         );
       },
-      grant(from, answered, grants, { life = false, whole = false, listening = false } = {}) {
+      applyGrants(from, answered, grants, { life = false, whole = false, listening = false } = {}) {
         if (from < epoch || open?.serial !== answered) return;
         epoch = from;
         isKnown = life;
@@ -257,22 +260,22 @@
         for (const { team, requests, prompt } of grants) {
           const account = accounts.get(team);
           if (!account) continue;
-          account.holds = Ledger.sum(holdsOf(account), { requests, prompt });
+          account.holds = UsageWindow.sum(holdsOf(account), { requests, prompt });
           account.until = Instant.after(grantFor, open.at);
           const told = open.told.get(team);
-          account.believed = told && Ledger.sum(told.spoken, { requests, prompt });
+          account.believed = told && UsageWindow.sum(told.spoken, { requests, prompt });
         }
         open.settle(true);
       },
-      tellAll() {
+      reportAll() {
         isKnown = false;
         isDue = true;
         question();
       },
-      tend() {
-        most.see(needs.proxies());
+      maintain() {
+        most.record(needs.proxies());
         for (const [team, account] of accounts) {
-          const isTold = !isKnown || isEqual(Ledger.none, account.believed);
+          const isTold = !isKnown || isEqual(UsageWindow.zero, account.believed);
           if (Instant.since(account.touched) > 2 * account.span && isTold) accounts.delete(team);
         }
         if (accounts.size === 0) return;
--- a/src/proxy/ready.ts
+++ b/src/proxy/ready.ts
@@ -12,7 +12,7 @@
 };
 
 export declare namespace Ready {
-  type Needs = {
+  type Dependencies = {
     readonly zone: string;
     readonly isDraining: () => boolean;
     readonly compiled: () => Compiled | undefined;
@@ -22,13 +22,13 @@
 }
 
 /** How long after its start a proxy waits for the first list of servers, in milliseconds. */
-const longestWait = 3000;
+const maxListWaitMs = 3000;
 
 export const Ready = {
-  longestWait,
-  of({ zone, isDraining, compiled, listSerial }: Ready.Needs): Ready {
+  longestWait: maxListWaitMs,
+  of({ zone, isDraining, compiled, listSerial }: Ready.Dependencies): Ready {
     const began = Instant.now();
-    const isListMissing = () => listSerial() === 0 && Instant.since(began) < longestWait;
+    const isListMissing = () => listSerial() === 0 && Instant.since(began) < maxListWaitMs;
     return {
       reason() {
         if (isDraining()) return 'draining';
--- a/src/proxy/shares.ts
+++ b/src/proxy/shares.ts
@@ -2,7 +2,7 @@
 // a group are three quarters full, a team that already holds its even part of them is dropped early, as
 // not run, so that one team's crowd leaves room for the others.
 export type Shares = {
-  readonly enter: (group: string, team: string, capacity: number) => (() => void) | undefined;
+  readonly acquire: (group: string, team: string, capacity: number) => (() => void) | undefined;
 };
 
 const crowdedFrom = 0.75;
@@ -11,7 +11,7 @@
   of(): Shares {
     const active = new Map<string, Map<string, number>>();
     return {
-      enter(group, team, capacity) {
+      acquire(group, team, capacity) {
         const teams = active.get(group) ?? new Map<string, number>();
         active.set(group, teams);
         const mine = teams.get(team) ?? 0;
--- a/src/proxy/stream-response.ts
+++ b/src/proxy/stream-response.ts
@@ -12,7 +12,7 @@
 import { Call } from './call.js';
 import { EventSplitter } from './event-splitter.js';
 import type { Filter } from './filter.js';
-import { Hygiene } from './hygiene.js';
+import { HeaderFilter } from './header-filter.js';
 import { Reset } from './reset.js';
 import { StreamPump } from './stream-pump.js';
 
@@ -68,7 +68,7 @@
 
   private writeHead(extraHeaders: Headers): void {
     const { outgoing, dialect } = this.call;
-    const head = { ...Hygiene.down(this.trial.headers, dialect), ...extraHeaders };
+    const head = { ...HeaderFilter.responseHeaders(this.trial.headers, dialect), ...extraHeaders };
     // A resumed stream may differ in length from the first response.
     if (this.events) delete head['content-length'];
     outgoing.cork();
--- a/src/upstream/budget.ts
+++ b/src/upstream/budget.ts
@@ -14,7 +14,7 @@
 
 import { Instant } from '../common/instant.js';
 import { Timer } from '../common/timer.js';
-import { Purse } from '../duty/purse.js';
+import { TokenPool } from '../duty/token-pool.js';
 
 /** The retry budget of one proxy. */
 export type Budget = {
@@ -32,7 +32,7 @@
   /** Number of tokens held, including fractions. */
   readonly held: () => number;
   /** Adds tokens from the pool; a grant from an old epoch is ignored. */
-  readonly grant: (epoch: number, batches: readonly Purse.Batch[]) => void;
+  readonly grant: (epoch: number, batches: readonly TokenPool.Batch[]) => void;
   /** Periodic work: refills the reserve from the pool or passes the surplus to it. */
   readonly maintain: () => void;
 };
@@ -70,7 +70,7 @@
 export const Budget = {
   /** `send` transmits surplus batches and the requested amount to the pool; it returns false if it cannot. */
   of(
-    send: (batches: readonly Purse.Batch[], wanted: number) => boolean = () => false,
+    send: (batches: readonly TokenPool.Batch[], wanted: number) => boolean = () => false,
     allowance?: Budget.Allowance,
   ): Budget {
     let maxProxies = 0;
@@ -94,7 +94,7 @@
       allowedTriesAt.push(Instant.now());
       return true;
     };
-    const purse = Purse.of();
+    const purse = TokenPool.of();
     let epoch = 0;
     let requestedAt = 0 as Instant;
     let waiters = 0;
--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -83,13 +83,13 @@
       own: 'a',
       term: () => ({ ...term, cores: [{ disk: 'a', node: 'a', wire: '', http: '' }] }),
       isLive: () => true,
-      isInTouch: () => isInTouch,
-      passUp: () => {},
-      sendDown: ({ node }) => void answered.push(node),
+      hasRecentPrimary: () => isInTouch,
+      forward: () => {},
+      respond: ({ node }) => void answered.push(node),
       quotas: {
-        look: () => {},
+        observeEpoch: () => {},
         usage: () => ({}),
-        take: (frame: QuotaDuty.Tokens) => frame,
+        receive: (frame: QuotaDuty.Tokens) => frame,
       },
     });
     const question = {
@@ -102,10 +102,10 @@
       uses: [],
       grants: [],
     } as const;
-    budget.take(question);
+    budget.receive(question);
     assert.deepEqual(answered, []);
     isInTouch = true;
-    budget.take(question);
+    budget.receive(question);
     assert.deepEqual(answered, ['proxy']);
   });
 });
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
-import { Purse } from '../src/duty/purse.js';
+import { TokenPool } from '../src/duty/token-pool.js';
 import { Bench } from './bench.js';
 
 const serveStream: Bench.Handle = (_request, response) => Bench.sse(response, ['one']);
@@ -82,7 +82,7 @@
   });
 
   it('stores each token once, keeps its age when it is passed on, and expires it', () => {
-    const purse = Purse.of();
+    const purse = TokenPool.of();
     for (let count = 0; count < 10; count += 1) purse.add([{ amount: 200, age: 0 }]);
     assert.equal(purse.total(), 2000);
     const taken = purse.take(1500, true);
@@ -92,8 +92,8 @@
     );
     assert.equal(purse.take(501), undefined);
     assert.equal(purse.total(), 500);
-    const other = Purse.of();
-    other.add([{ amount: 700, age: Purse.lifetime + 1 }]);
+    const other = TokenPool.of();
+    other.add([{ amount: 700, age: TokenPool.lifetime + 1 }]);
     assert.equal(other.total(), 0);
     other.add([
       { amount: Number.NaN, age: 0 },
--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -2,7 +2,7 @@
 // fade, make a server dearer and never close it, and hold neither for a whole group nor beyond its share.
 import assert from 'node:assert/strict';
 import { afterEach, describe, it, mock } from 'node:test';
-import { FailureSums } from '../src/duty/failure-sums.js';
+import { FailureAggregator } from '../src/duty/failure-aggregator.js';
 import type { Compiled } from '../src/manifest/compiled.js';
 import { Failures } from '../src/upstream/failures.js';
 import { InFlight } from '../src/upstream/in-flight.js';
@@ -98,7 +98,7 @@
 
   it('are summed at a core, which passes on the worst', async () => {
     const told = await new Promise<readonly Frame.Failed[]>((resolve) => {
-      const sums = FailureSums.of((failed) => {
+      const sums = FailureAggregator.of((failed) => {
         sums.stop();
         resolve(failed);
       });
--- a/test/first-manifest.test.ts
+++ b/test/first-manifest.test.ts
@@ -18,7 +18,7 @@
   it('lets those who wait go on in the moment it comes', async () => {
     const first = FirstManifest.of();
     const waiting = [first.wait(undefined), first.wait(10_000)];
-    first.came();
+    first.markArrived();
     await Promise.all(waiting);
     await first.wait(10_000);
   });
@@ -30,7 +30,7 @@
     const first = FirstManifest.of();
     const crowd = Array.from({ length: 100 }, () => first.wait(10_000));
     await turns();
-    first.came();
+    first.markArrived();
     await Promise.all(crowd);
     process.off('warning', see);
     assert.deepEqual(warnings, []);
@@ -81,7 +81,7 @@
     server,
     bring() {
       isInForce = true;
-      firstManifest.came();
+      firstManifest.markArrived();
     },
   };
 };
--- a/test/quota-changes.test.ts
+++ b/test/quota-changes.test.ts
@@ -5,7 +5,7 @@
 import type { Id } from '../src/common/id.js';
 import { Instant } from '../src/common/instant.js';
 import { QuotaDuty } from '../src/duty/quota-duty.js';
-import { Quotas } from '../src/proxy/quotas.js';
+import { QuotaLimiter } from '../src/proxy/quota-limiter.js';
 import { Random } from '../tools/random.js';
 
 const quota = { span: 60_000, requests: 100 };
@@ -30,14 +30,14 @@
 
 const lay = (count: number) => {
   const names = Array.from({ length: count }, (_none, index) => String.fromCharCode(97 + index));
-  const duty = QuotaDuty.of({ quotaOf: () => quota, roster: () => names, ask: () => {} });
+  const duty = QuotaDuty.of({ quotaOf: () => quota, roster: () => names, requestReport: () => {} });
   let epoch = 1;
   let isUp = true;
   let isEarlier = false;
   const asked: QuotaDuty.Tokens[] = [];
   const answered: QuotaDuty.Tokens[] = [];
-  const proxyOf = (node: string): Quotas => {
-    const quotas: Quotas = Quotas.of({
+  const proxyOf = (node: string): QuotaLimiter => {
+    const quotas: QuotaLimiter = QuotaLimiter.of({
       proxies: () => count,
       send(serial, uses, { life, whole }) {
         const frame = {
@@ -53,25 +53,25 @@
         const told = isEarlier ? frame : { ...frame, life, whole };
         asked.push(told);
         if (!isUp) return true;
-        const response = duty.take(told, epoch);
+        const response = duty.receive(told, epoch);
         if (response) answered.push(response);
         if (response)
-          setImmediate(() => quotas.grant(response.epoch, response.serial, response.grants, response));
+          setImmediate(() => quotas.applyGrants(response.epoch, response.serial, response.grants, response));
         return true;
       },
     });
     return quotas;
   };
-  const admit = (quotas: Quotas, index: number) =>
+  const admit = (quotas: QuotaLimiter, index: number) =>
     quotas.admit({ name: nameOf(index), home: undefined, homes: undefined, quota }, 100);
   const used = (index: number) => duty.usage()[nameOf(index)]?.used.requests ?? 0;
   // Grants given ahead end after two seconds, and what was held of them is told.
-  const settled = (...proxies: readonly Quotas[]) =>
+  const settled = (...proxies: readonly QuotaLimiter[]) =>
     lasting(QuotaDuty.grantFor + 300, () => {
-      for (const proxy of proxies) proxy.tend();
+      for (const proxy of proxies) proxy.maintain();
     });
   const listen = async () => {
-    duty.look(epoch);
+    duty.observeEpoch(epoch);
     await lasting(listening, () => {});
   };
   return {
@@ -113,7 +113,7 @@
     assert.deepEqual([...new Set(told)], [nameOf(7)]);
     assert.equal(used(7), 2);
     assert.ok(verdict.kind === 'in');
-    verdict.undo();
+    verdict.refund();
     await settled(proxy);
     assert.equal(used(7), 1);
   });
@@ -125,7 +125,7 @@
     assert.equal((await admit(silent, 1)).kind, 'in');
     await settled(alive, silent);
     const before = asked.length;
-    await everyHalfSecond(silentAfter + 500, alive.tend);
+    await everyHalfSecond(silentAfter + 500, alive.maintain);
     const told = asked.slice(before);
     assert.equal(
       told.reduce((sum, { uses }) => sum + uses.length, 0),
@@ -142,7 +142,7 @@
     await settled(proxy);
     moveHolder();
     const before = asked.length;
-    await everyHalfSecond(listening, proxy.tend);
+    await everyHalfSecond(listening, proxy.maintain);
     const wholes = asked.slice(before).filter(({ whole }) => whole);
     assert.deepEqual(
       wholes.map(({ uses }) => uses.length),
@@ -152,12 +152,12 @@
     await settled(proxy);
     assert.equal(asked.slice(before).filter(({ whole }) => whole).length, 1);
     setUp(false);
-    proxy.tend();
+    proxy.maintain();
     await lasting(600, () => {});
     assert.deepEqual([asked.at(-1)?.whole, asked.at(-1)?.uses.length], [true, teams]);
     setUp(true);
     const later = asked.length;
-    proxy.tend();
+    proxy.maintain();
     await lasting(500, () => {});
     assert.deepEqual(
       asked.slice(later).map(({ whole, uses }) => [whole, uses.length]),
@@ -172,7 +172,7 @@
     for (let index = 0; index < teams; index += 1) await admit(proxy, index);
     for (let round = 0; round < 3; round += 1) {
       const before = asked.length;
-      proxy.tend();
+      proxy.maintain();
       await turn();
       await turn();
       assert.deepEqual(
@@ -193,7 +193,7 @@
     await admit(second, 1);
     await settled(second);
     assert.equal(used(0), 10);
-    await lasting(silentAfter + 200, second.tend);
+    await lasting(silentAfter + 200, second.maintain);
     assert.equal(used(0), quota.requests / 4);
   });
   it('lets in the whole quota over all proxies in any order, and no more', async () => {
@@ -204,7 +204,7 @@
     let admitted = 0;
     for (let round = 0; round < 3 * quota.requests; round += 1) {
       const proxy = random.pick(proxies);
-      if (random.below(3) === 0) proxy.tend();
+      if (random.below(3) === 0) proxy.maintain();
       if ((await admit(proxy, 0)).kind === 'in') admitted += 1;
     }
     assert.ok(admitted <= quota.requests, `${admitted} were let in`);
--- a/test/quota-holder.test.ts
+++ b/test/quota-holder.test.ts
@@ -5,7 +5,7 @@
 import type { Id } from '../src/common/id.js';
 import { Instant } from '../src/common/instant.js';
 import { QuotaDuty } from '../src/duty/quota-duty.js';
-import { Quotas } from '../src/proxy/quotas.js';
+import { QuotaLimiter } from '../src/proxy/quota-limiter.js';
 
 const requests = 30;
 const longSpan = 60_000;
@@ -28,30 +28,32 @@
   const duty = QuotaDuty.of({
     quotaOf: () => quota,
     roster: () => [...roster],
-    ask(node) {
+    requestReport(node) {
       asked.push(node);
-      if (!cutOff.has(node)) setImmediate(() => proxies[node as Name].tellAll());
+      if (!cutOff.has(node)) setImmediate(() => proxies[node as Name].reportAll());
     },
   });
-  const proxyOf = (node: Name): Quotas =>
-    Quotas.of({
+  const proxyOf = (node: Name): QuotaLimiter =>
+    QuotaLimiter.of({
       proxies: () => names.length,
       send(serial, uses, { life, whole }) {
         if (cutOff.has(node)) return false;
         const told = { kind: 'tokens', node, epoch: 0, batches: [], wanted: 0, serial, uses, grants: [] };
-        const response = duty.take({ ...told, kind: 'tokens', life, whole }, epoch);
+        const response = duty.receive({ ...told, kind: 'tokens', life, whole }, epoch);
         if (response)
-          setImmediate(() => proxies[node].grant(response.epoch, response.serial, response.grants, response));
+          setImmediate(() =>
+            proxies[node].applyGrants(response.epoch, response.serial, response.grants, response),
+          );
         return true;
       },
     });
-  const proxies: Record<Name, Quotas> = { a: proxyOf('a'), b: proxyOf('b'), c: proxyOf('c') };
+  const proxies: Record<Name, QuotaLimiter> = { a: proxyOf('a'), b: proxyOf('b'), c: proxyOf('c') };
   const lasting = async (time: number) => {
     let next = Instant.now();
     for (const began = Instant.now(); Instant.since(began) < time; await turn()) {
       if (!Instant.isPast(next)) continue;
       next = Instant.after(tendEvery, next);
-      for (const name of names) proxies[name].tend();
+      for (const name of names) proxies[name].maintain();
     }
   };
   const admit = async (node: Name, count: number) => {
@@ -65,12 +67,12 @@
   };
   const sum = () => admitted.a + admitted.b + admitted.c;
   const grown = async () => {
-    duty.look(epoch);
+    duty.observeEpoch(epoch);
     await lasting(young + 100);
   };
   const moveHolder = async (during: () => Promise<void> = async () => {}) => {
     epoch += 1;
-    duty.look(epoch);
+    duty.observeEpoch(epoch);
     await Promise.all([during(), lasting(listening + 100)]);
   };
   return { roster, cutOff, admitted, asked, admit, sum, grown, moveHolder, lasting };
--- a/test/quota-questions.test.ts
+++ b/test/quota-questions.test.ts
@@ -4,7 +4,7 @@
 import { describe, it } from 'node:test';
 import type { Id } from '../src/common/id.js';
 import { Instant } from '../src/common/instant.js';
-import { Quotas } from '../src/proxy/quotas.js';
+import { QuotaLimiter } from '../src/proxy/quota-limiter.js';
 import type { Frame } from '../src/wire/frame.js';
 
 const teams = 8;
@@ -17,13 +17,13 @@
 const lay = (told: { readonly life?: boolean } = {}) => {
   const asked: (readonly Frame.Use[])[] = [];
   let isUp = true;
-  const quotas: Quotas = Quotas.of({
+  const quotas: QuotaLimiter = QuotaLimiter.of({
     proxies: () => 2,
     send(serial, uses) {
       asked.push(uses);
       if (!isUp) return true;
       const grants = uses.map(({ team, must }) => ({ team, ...must }));
-      setImmediate(() => quotas.grant(1, serial, grants, told));
+      setImmediate(() => quotas.applyGrants(1, serial, grants, told));
       return true;
     },
   });
@@ -60,7 +60,7 @@
       Array.from({ length: teams }, (_none, index) => [nameOf(index)]),
     );
     const waiting = admit(0);
-    quotas.tend();
+    quotas.maintain();
     await waiting;
     const whole = asked.findIndex((uses) => uses.length === teams);
     assert.equal(whole, teams + 1);
--- a/test/report-duty.test.ts
+++ b/test/report-duty.test.ts
@@ -29,7 +29,7 @@
       },
       isHeld: () => true,
       servers: () => Object.keys(loads).map((instance) => ({ instance }) as Document.Server),
-      tell: (fresh) => told.push(...fresh.map(({ instance }) => instance)),
+      publish: (fresh) => told.push(...fresh.map(({ instance }) => instance)),
     });
     const rounds = async (count: number) => {
       for (const name of Object.keys(loads)) asked[name] = 0;
--- a/tools/experiment/front.ts
+++ b/tools/experiment/front.ts
@@ -5,7 +5,7 @@
 
 import { Instant } from '../../src/common/instant.js';
 import { Timer } from '../../src/common/timer.js';
-import { Purse } from '../../src/duty/purse.js';
+import { TokenPool } from '../../src/duty/token-pool.js';
 import { Compiled } from '../../src/manifest/compiled.js';
 import type { View } from '../../src/manifest/view.js';
 import { Budget } from '../../src/upstream/budget.js';
@@ -34,7 +34,7 @@
   readonly hearFailures: (told: readonly Failures.Told[]) => void;
   readonly untold: () => readonly Failures.Told[];
   /** Tokens for extra tries that the pool of all proxies grants. */
-  readonly grant: (batches: readonly Purse.Batch[]) => void;
+  readonly grant: (batches: readonly TokenPool.Batch[]) => void;
   readonly stop: () => void;
 };
 
@@ -86,7 +86,7 @@
     readonly tellDark: (instance: string) => void;
     readonly extraTries: { readonly count: number; readonly window: number };
     /** Hands tokens that are not needed to the pool of all proxies, and asks it for others. */
-    readonly sendTokens: (batches: readonly Purse.Batch[], wanted: number) => boolean;
+    readonly sendTokens: (batches: readonly TokenPool.Batch[], wanted: number) => boolean;
   };
 }
 
@@ -310,7 +310,7 @@
 
 /** Proxies of the experiment, and the pool of tokens that a core keeps for them. */
 export const Front = {
-  purse: () => Purse.of(),
+  purse: () => TokenPool.of(),
   compile: (view: View): Compiled => Compiled.of(view)!,
   of(needs: Front.Needs): Front {
     let compiled: Compiled | undefined;
--- a/tools/fuzz/lab.ts
+++ b/tools/fuzz/lab.ts
@@ -11,7 +11,7 @@
 import type { Filter } from '../../src/proxy/filter.js';
 import { FirstManifest } from '../../src/proxy/first-manifest.js';
 import { Meters } from '../../src/proxy/meters.js';
-import { Quotas } from '../../src/proxy/quotas.js';
+import { QuotaLimiter } from '../../src/proxy/quota-limiter.js';
 import { ProxyServer } from '../../src/proxy/server.js';
 import { Shares } from '../../src/proxy/shares.js';
 import { Stall } from '../../src/proxy/stall.js';
@@ -107,7 +107,7 @@
     ejector,
     failures,
     budget,
-    quotas: Quotas.of({ proxies: () => 1, send: () => true }),
+    quotas: QuotaLimiter.of({ proxies: () => 1, send: () => true }),
     stall,
     ramp,
     placement: Placement.of({
