--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -120,7 +120,7 @@
     const quotas = QuotaDuty.of({
       quotaOf: (team) => feed.view().manifest?.document.teams[team]?.quota,
       roster: roster.names,
-      requestReport: (node) => sendDown({ ...QuotaDuty.question, node }),
+      requestReport: (node) => sendDown({ ...QuotaDuty.reportRequest, node }),
     });
     const budget = BudgetDuty.of({
       quotas,
--- a/src/duty/fallback-list-duty.ts
+++ b/src/duty/fallback-list-duty.ts
@@ -42,7 +42,7 @@
 export const FallbackListDuty = {
   run(needs: FallbackListDuty.Dependencies): FallbackListDuty {
     let missing: ReadonlySet<string> = new Set();
-    let rest: number = ListSource.pollEvery;
+    let rest: number = ListSource.pollIntervalMs;
     let isOut = false;
     const step = async (): Promise<number> => {
       const { index, count } = needs.position();
@@ -53,9 +53,9 @@
       }
       if (!isOut) {
         isOut = true;
-        rest = ListSource.pollEvery * count;
+        rest = ListSource.pollIntervalMs * count;
         needs.note('no primary is heard: looking at the list', { index, count });
-        if (index > 0) return ListSource.pollEvery * index;
+        if (index > 0) return ListSource.pollIntervalMs * index;
       }
       const polled = await needs.source.poll();
       if (polled.kind === 'busy') {
--- a/src/duty/list-duty.ts
+++ b/src/duty/list-duty.ts
@@ -22,7 +22,7 @@
 
 type Told = { readonly servers: readonly Document.Server[]; readonly at: Instant };
 
-const { pollEvery } = ListSource;
+const { pollIntervalMs: pollEvery } = ListSource;
 const lookEvery = 100;
 const slack = 300;
 
--- a/src/duty/list-source.ts
+++ b/src/duty/list-source.ts
@@ -21,7 +21,7 @@
 const longestRest = 5600;
 
 export const ListSource = {
-  pollEvery: pollIntervalMs,
+  pollIntervalMs: pollIntervalMs,
   /** The pause after a poll of so many pieces, for one of so many pollers. */
   pauseAfter: (source: ListSource, pieces: number, pollers = 1): number =>
     Math.max(pollIntervalMs, (pieces * 1000) / (source.rate() * ownPart)) * pollers,
--- a/src/duty/quota-duty.ts
+++ b/src/duty/quota-duty.ts
@@ -63,8 +63,8 @@
 } as const satisfies Omit<QuotaDuty.Tokens, 'node'>;
 
 export const QuotaDuty = {
-  grantFor: grantLifetimeMs,
-  question: reportRequest,
+  grantLifetimeMs: grantLifetimeMs,
+  reportRequest: reportRequest,
   of(needs: {
     readonly quotaOf: (team: string) => QuotaDuty.Quota | undefined;
     /** The live proxies that this node knows of, of which it may miss some. */
--- a/src/duty/token-pool.ts
+++ b/src/duty/token-pool.ts
@@ -20,7 +20,7 @@
 const grain = 500;
 
 export const TokenPool = {
-  lifetime: lifetimeMs,
+  lifetimeMs: lifetimeMs,
   of(): TokenPool {
     let held: Held[] = [];
     const expire = () => {
--- a/src/proxy/ready.ts
+++ b/src/proxy/ready.ts
@@ -25,7 +25,7 @@
 const maxListWaitMs = 3000;
 
 export const Ready = {
-  longestWait: maxListWaitMs,
+  maxListWaitMs: maxListWaitMs,
   of({ zone, isDraining, compiled, listSerial }: Ready.Dependencies): Ready {
     const began = Instant.now();
     const isListMissing = () => listSerial() === 0 && Instant.since(began) < maxListWaitMs;
--- a/test/budget-reserve.test.ts
+++ b/test/budget-reserve.test.ts
@@ -35,7 +35,7 @@
 
   it('keeps fresh tokens instead of those that expire during a try', () => {
     earn(5);
-    clock.advance(TokenPool.lifetime - 1000);
+    clock.advance(TokenPool.lifetimeMs - 1000);
     earn(12);
     budget.maintain();
     clock.advance(1200);
@@ -48,13 +48,13 @@
     earn(12);
     budget.maintain();
     assert.equal(passedOn, 12 * earnedPerRequest);
-    clock.advance(TokenPool.lifetime - 1000 + 1);
+    clock.advance(TokenPool.lifetimeMs - 1000 + 1);
     assert.equal(budget.held(), 0);
   });
 
   it('requests only what is missing from the reserve', () => {
     earn(5);
-    clock.advance(TokenPool.lifetime - 1000);
+    clock.advance(TokenPool.lifetimeMs - 1000);
     budget.maintain();
     assert.equal(requestedAmount, 0);
     clock.advance(1001);
--- a/test/budget.test.ts
+++ b/test/budget.test.ts
@@ -93,7 +93,7 @@
     assert.equal(purse.take(501), undefined);
     assert.equal(purse.total(), 500);
     const other = TokenPool.of();
-    other.add([{ amount: 700, age: TokenPool.lifetime + 1 }]);
+    other.add([{ amount: 700, age: TokenPool.lifetimeMs + 1 }]);
     assert.equal(other.total(), 0);
     other.add([
       { amount: Number.NaN, age: 0 },
--- a/test/quota-changes.test.ts
+++ b/test/quota-changes.test.ts
@@ -67,7 +67,7 @@
   const used = (index: number) => duty.usage()[nameOf(index)]?.used.requests ?? 0;
   // Grants given ahead end after two seconds, and what was held of them is told.
   const settled = (...proxies: readonly QuotaLimiter[]) =>
-    lasting(QuotaDuty.grantFor + 300, () => {
+    lasting(QuotaDuty.grantLifetimeMs + 300, () => {
       for (const proxy of proxies) proxy.maintain();
     });
   const listen = async () => {
--- a/test/quota-holder.test.ts
+++ b/test/quota-holder.test.ts
@@ -128,7 +128,7 @@
     await moveHolder();
     await admit('a', requests);
     assert.ok(admitted.a <= requests / names.length);
-    await lasting(shortSpan + QuotaDuty.grantFor + shortSpan);
+    await lasting(shortSpan + QuotaDuty.grantLifetimeMs + shortSpan);
     admitted.a = 0;
     await admit('a', requests);
     assert.equal(admitted.a, requests);
--- a/test/ready.test.ts
+++ b/test/ready.test.ts
@@ -42,7 +42,7 @@
     try {
       const { state, reason } = start();
       state.compiled = inForce();
-      clock.advance(Ready.longestWait - 1);
+      clock.advance(Ready.maxListWaitMs - 1);
       assert.equal(reason(), 'no list of servers yet');
       clock.advance(1);
       assert.equal(reason(), undefined);
