--- a/src/duty/budget-duty.ts
+++ b/src/duty/budget-duty.ts
@@ -1,21 +1,30 @@
-// The budget duty at a core: pools the tokens that proxies have no use for and grants them to those that
-// ask. A core that does not hold the duty passes what comes up on to the one that does. A new holder
-// begins empty; what was on its way is lost, never made twice. The same holder answers for quotas.
+/**
+ * The budget duty of a core: pools the retry tokens that proxies do not need and grants them to proxies that request some. A
+ * duty is a role that one core at a time holds; the others forward its messages to the holder. A new holder starts with an
+ * empty pool: tokens in transit may be lost, but are never duplicated. The same core also holds the quota duty.
+ */
 import type { Frame } from '../wire/frame.js';
 import { DutyOrder } from './duty-order.js';
 import type { QuotaDuty } from './quota-duty.js';
 import { TokenPool } from './token-pool.js';
 
+/** Pools and grants retry tokens. */
 export type BudgetDuty = {
+  /** Handles a message of a proxy, or forwards it to the holder. */
   readonly receive: (frame: BudgetDuty.Tokens) => void;
+  /** Tokens in the pool, in thousandths. */
   readonly pooled: () => number;
+  /** The node that holds the duty; undefined if none is known. */
   readonly holder: () => string | undefined;
 };
 
+/** Messages of the duty. */
 export declare namespace BudgetDuty {
+  /** A message about retry tokens or quotas. */
   type Tokens = Extract<Frame.Body, { kind: 'tokens' }>;
 }
 
+/** Creates the budget duty of a core. */
 export const BudgetDuty = {
   of(needs: {
     readonly own: string;
@@ -25,9 +34,9 @@
     readonly respond: (frame: BudgetDuty.Tokens) => void;
     readonly quotas: QuotaDuty;
     /**
-     * Whether a primary was heard of just now. A core that is cut off takes itself for the first live one; it
-     * grants no quotas then, and the proxies below it let in their even parts alone. Tokens were earned and can't
-     * be granted twice, so they go on.
+     * Whether word of a primary arrived recently. A core that is cut off considers itself the first live one. It then
+     * grants no quota, and the proxies below it admit up to their even shares. Retry tokens were earned and cannot be
+     * granted twice, so they continue to be handled.
      */
     readonly hasRecentPrimary?: () => boolean;
   }): BudgetDuty {
@@ -37,7 +46,7 @@
       const term = needs.term();
       return term && DutyOrder.firstLive(DutyOrder.of(term), needs.isLive);
     };
-    const hold = (term: Frame.Term) => {
+    const startTerm = (term: Frame.Term) => {
       if (term.epoch !== epoch) pool = TokenPool.of();
       epoch = term.epoch;
     };
@@ -46,21 +55,21 @@
       pooled: () => pool.total(),
       receive(frame) {
         const term = needs.term();
-        const who = holder();
-        if (!term || who === undefined) return;
-        if (who !== needs.own) return needs.forward(who, frame);
+        const holderNode = holder();
+        if (!term || holderNode === undefined) return;
+        if (holderNode !== needs.own) return needs.forward(holderNode, frame);
         if (frame.uses.length > 0 || frame.serial > 0) {
           if (needs.hasRecentPrimary?.() === false) return;
           const response = needs.quotas.receive(frame, term.epoch);
           if (response) needs.respond(response);
           return;
         }
-        hold(term);
+        startTerm(term);
         pool.add(frame.batches);
         const wanted = Math.min(frame.wanted, pool.total());
         const batches = wanted > 0 ? pool.take(wanted) : undefined;
-        const { epoch: under } = term;
-        if (batches) needs.respond({ ...frame, epoch: under, batches, wanted: 0 });
+        const { epoch: grantEpoch } = term;
+        if (batches) needs.respond({ ...frame, epoch: grantEpoch, batches, wanted: 0 });
       },
     };
   },
--- a/src/duty/failure-aggregator.ts
+++ b/src/duty/failure-aggregator.ts
@@ -1,28 +1,32 @@
-// What the proxies below a core told of failing servers, summed and passed on to all of them twice a second: the
-// worst few only, so that a day on which everything fails costs no more than one on which a server does.
+/**
+ * Sums the failure counts that the proxies below a core report for servers, and broadcasts the sums to all of them twice a
+ * second. Only the highest counts are sent, so that an outage of all servers costs no more traffic than that of one.
+ */
 import { Timer } from '../common/timer.js';
 import type { Frame } from '../wire/frame.js';
 
+/** Aggregates failure reports. */
 export type FailureAggregator = {
-  readonly add: (told: readonly Frame.Failed[]) => void;
+  readonly add: (reports: readonly Frame.Failed[]) => void;
   readonly stop: () => void;
 };
 
-const every = 500;
-const most = 16;
+const flushIntervalMs = 500;
+const maxEntries = 16;
 
+/** Creates an aggregator that broadcasts its sums. */
 export const FailureAggregator = {
-  of(tell: (failed: readonly Frame.Failed[]) => void): FailureAggregator {
+  of(broadcast: (failed: readonly Frame.Failed[]) => void): FailureAggregator {
     const sums = new Map<string, number>();
-    const flush = Timer.every(every, () => {
+    const flush = Timer.every(flushIntervalMs, () => {
       if (sums.size === 0) return;
-      const worst = [...sums].sort(([, a], [, b]) => b - a).slice(0, most);
+      const worst = [...sums].sort(([, a], [, b]) => b - a).slice(0, maxEntries);
       sums.clear();
-      tell(worst.map(([instance, count]) => ({ instance, count })));
+      broadcast(worst.map(([instance, count]) => ({ instance, count })));
     });
     return {
-      add(told) {
-        for (const { instance, count } of told)
+      add(reports) {
+        for (const { instance, count } of reports)
           if (count > 0) sums.set(instance, (sums.get(instance) ?? 0) + count);
       },
       stop: flush.stop,
--- a/src/duty/fallback-list-duty.ts
+++ b/src/duty/fallback-list-duty.ts
@@ -1,15 +1,20 @@
-// The lookout at each core that hears of no primary: it polls the list itself, in its turn among the cores and at
-// its part of their rate, and tells the fronts which servers are to get nothing more. Only that: a server that
-// leaves, is gone, or whose address is another's. It commits nothing, so nobody has to agree, and the worst that
-// a wrong word does is that a server rests. What is new waits for a primary.
+/**
+ * Polling of the server list by each core that hears of no primary, spread over the cores so that together they stay within
+ * the rate limit. The core reports to the proxies only which servers should get no new requests: those that are leaving, are
+ * gone, or whose address belongs to another server. Nothing is committed, so no agreement is needed, and the worst effect of
+ * a wrong report is that a server gets no new requests for a while. New servers are not announced until there is a primary.
+ */
 import { Failure } from '../common/failure.js';
 import type { Document } from '../manifest/document.js';
 import { ListSource } from './list-source.js';
 import { RepeatingTask } from './repeating-task.js';
 
+/** Polls the list while there is no primary. */
 export type FallbackListDuty = { readonly stop: () => Promise<void> };
 
+/** Dependencies of the duty. */
 export declare namespace FallbackListDuty {
+  /** Position of this core among the cores that poll. */
   type Position = { readonly index: number; readonly count: number };
   type Dependencies = {
     readonly source: ListSource;
@@ -21,9 +26,9 @@
   };
 }
 
-const lookEvery = 250;
+const idleIntervalMs = 250;
 
-const leavingOf = (
+const findLeaving = (
   held: readonly Document.Server[],
   polled: readonly Document.Server[],
   missingBefore: ReadonlySet<string>,
@@ -39,38 +44,39 @@
   };
 };
 
+/** Runs the duty. */
 export const FallbackListDuty = {
   run(needs: FallbackListDuty.Dependencies): FallbackListDuty {
     let missing: ReadonlySet<string> = new Set();
-    let rest: number = ListSource.pollIntervalMs;
-    let isOut = false;
+    let interval: number = ListSource.pollIntervalMs;
+    let isActive = false;
     const step = async (): Promise<number> => {
       const { index, count } = needs.position();
       if (needs.hasPrimary()) {
-        isOut = false;
+        isActive = false;
         missing = new Set();
-        return lookEvery;
+        return idleIntervalMs;
       }
-      if (!isOut) {
-        isOut = true;
-        rest = ListSource.pollIntervalMs * count;
-        needs.note('no primary is heard: looking at the list', { index, count });
+      if (!isActive) {
+        isActive = true;
+        interval = ListSource.pollIntervalMs * count;
+        needs.note('no primary known: polling the server list', { index, count });
         if (index > 0) return ListSource.pollIntervalMs * index;
       }
       const polled = await needs.source.poll();
       if (polled.kind === 'busy') {
-        rest = ListSource.pauseWhenBusy(rest, count);
-        return rest;
+        interval = ListSource.pauseWhenBusy(interval, count);
+        return interval;
       }
-      rest = ListSource.pauseAfter(needs.source, polled.kind === 'list' ? polled.pages : 1, count);
-      if (polled.kind === 'failed' || polled.servers.length === 0 || needs.hasPrimary()) return rest;
-      const found = leavingOf(needs.currentServers(), polled.servers, missing);
+      interval = ListSource.pauseAfter(needs.source, polled.kind === 'list' ? polled.pages : 1, count);
+      if (polled.kind === 'failed' || polled.servers.length === 0 || needs.hasPrimary()) return interval;
+      const found = findLeaving(needs.currentServers(), polled.servers, missing);
       missing = found.missing;
       if (found.leaving.length > 0) needs.announceLeaving(found.leaving);
-      return rest;
+      return interval;
     };
-    return RepeatingTask.run(step, lookEvery, (error) =>
-      needs.note('the lookout failed', { why: Failure.text(error) }),
+    return RepeatingTask.run(step, idleIntervalMs, (error) =>
+      needs.note('polling the server list without a primary failed', { why: Failure.text(error) }),
     );
   },
 };
--- a/src/duty/list-duty.ts
+++ b/src/duty/list-duty.ts
@@ -1,18 +1,22 @@
-// The list duty at the acting primary: polls the list of servers and renews the one held when its content
-// changed. The time a server still warms for runs down by itself and is no change; that it begins, ends or
-// is set back is one. A poll that fails or gives nothing changes nothing, and a busy source is left longer.
-
+/**
+ * The list duty of the acting primary: polls the list of servers and publishes a new one when its content changed. The
+ * remaining warmup time of a server decreases by itself and is not a change; the start, end or reset of a warmup is. A poll
+ * that fails or returns nothing changes nothing. The poll interval grows while the source reports that it is overloaded.
+ */
 import { Failure } from '../common/failure.js';
 import { Instant } from '../common/instant.js';
 import type { Document } from '../manifest/document.js';
 import { ListSource } from './list-source.js';
 import { RepeatingTask } from './repeating-task.js';
 
+/** Polls the list of servers. */
 export type ListDuty = { readonly stop: () => Promise<void> };
 
+/** Dependencies of the duty. */
 export declare namespace ListDuty {
   type Dependencies = {
     readonly source: ListSource;
+    /** Whether this node holds the duty. */
     readonly isHeld: () => boolean;
     readonly currentServers: () => readonly Document.Server[];
     readonly renew: (servers: readonly Document.Server[]) => Promise<boolean>;
@@ -20,32 +24,37 @@
   };
 }
 
-type Told = { readonly servers: readonly Document.Server[]; readonly at: Instant };
+type Published = { readonly servers: readonly Document.Server[]; readonly at: Instant };
 
-const { pollIntervalMs: pollEvery } = ListSource;
-const lookEvery = 100;
-const slack = 300;
+const { pollIntervalMs } = ListSource;
+/** How often a node without the duty checks whether it holds it. */
+const idleIntervalMs = 100;
+/** A warmup counts as reset only if its remaining time grew by more than this. */
+const warmupToleranceMs = 300;
 
 const withoutWarming = ({ warming: _warming, ...rest }: Document.Server): string =>
   JSON.stringify(Object.entries(rest).sort(([a], [b]) => (a < b ? -1 : 1)));
 
-const isRewarmed = (before: Document.Server, after: Document.Server, passed: number): boolean => {
-  const left = Math.max(0, (before.warming ?? 0) - passed);
+const isWarmupChanged = (before: Document.Server, after: Document.Server, elapsed: number): boolean => {
+  const left = Math.max(0, (before.warming ?? 0) - elapsed);
   const isWarming = (after.warming ?? 0) > 0;
-  return isWarming !== (before.warming ?? 0) > 0 || (after.warming ?? 0) > left + slack;
+  return isWarming !== (before.warming ?? 0) > 0 || (after.warming ?? 0) > left + warmupToleranceMs;
 };
 
-const isChanged = (before: Told, after: readonly Document.Server[]): boolean => {
+const isChanged = (before: Published, after: readonly Document.Server[]): boolean => {
   if (before.servers.length !== after.length) return true;
   const known = new Map(before.servers.map((one) => [one.instance, one]));
-  const passed = Instant.since(before.at);
+  const elapsed = Instant.since(before.at);
   return after.some((one) => {
-    const was = known.get(one.instance);
-    return !was || withoutWarming(was) !== withoutWarming(one) || isRewarmed(was, one, passed);
+    const previous = known.get(one.instance);
+    return (
+      !previous || withoutWarming(previous) !== withoutWarming(one) || isWarmupChanged(previous, one, elapsed)
+    );
   });
 };
 
-const keepOnce = (
+/** Keeps servers that are missing for the first time: a list that changes between two pages may lack one. */
+const keepMissingOnce = (
   held: readonly Document.Server[],
   polled: readonly Document.Server[],
   missedBefore: ReadonlySet<string>,
@@ -58,37 +67,39 @@
   return kept.length === 0 ? polled : [...polled, ...kept];
 };
 
+/** Runs the duty. */
 export const ListDuty = {
   run(needs: ListDuty.Dependencies): ListDuty {
-    let told: Told | undefined;
-    let missed: ReadonlySet<string> = new Set();
-    let rest: number = pollEvery;
+    let published: Published | undefined;
+    let missingBefore: ReadonlySet<string> = new Set();
+    let interval: number = pollIntervalMs;
     const step = async (): Promise<number> => {
       if (!needs.isHeld()) {
-        told = undefined;
-        missed = new Set();
-        rest = pollEvery;
-        return lookEvery;
+        published = undefined;
+        missingBefore = new Set();
+        interval = pollIntervalMs;
+        return idleIntervalMs;
       }
       const polled = await needs.source.poll();
       if (polled.kind === 'busy') {
-        rest = ListSource.pauseWhenBusy(rest);
-        return rest;
+        interval = ListSource.pauseWhenBusy(interval);
+        return interval;
       }
-      rest = pollEvery;
-      if (polled.kind === 'failed') needs.note('the list could not be polled', { why: polled.why });
-      if (polled.kind === 'failed' || polled.servers.length === 0 || !needs.isHeld()) return rest;
-      rest = ListSource.pauseAfter(needs.source, polled.pages);
+      interval = pollIntervalMs;
+      if (polled.kind === 'failed') needs.note('polling the server list failed', { why: polled.why });
+      if (polled.kind === 'failed' || polled.servers.length === 0 || !needs.isHeld()) return interval;
+      interval = ListSource.pauseAfter(needs.source, polled.pages);
       const at = Instant.now();
-      const before = told ?? { servers: needs.currentServers(), at };
-      const servers = polled.pages > 1 ? keepOnce(before.servers, polled.servers, missed) : polled.servers;
-      missed = new Set(servers.slice(polled.servers.length).map((one) => one.instance));
-      told ??= before;
-      if (isChanged(before, servers) && (await needs.renew(servers))) told = { servers, at };
-      return rest;
+      const before = published ?? { servers: needs.currentServers(), at };
+      const servers =
+        polled.pages > 1 ? keepMissingOnce(before.servers, polled.servers, missingBefore) : polled.servers;
+      missingBefore = new Set(servers.slice(polled.servers.length).map((one) => one.instance));
+      published ??= before;
+      if (isChanged(before, servers) && (await needs.renew(servers))) published = { servers, at };
+      return interval;
     };
-    return RepeatingTask.run(step, pollEvery, (error) =>
-      needs.note('the list was not renewed', { why: Failure.text(error) }),
+    return RepeatingTask.run(step, pollIntervalMs, (error) =>
+      needs.note('publishing the server list failed', { why: Failure.text(error) }),
     );
   },
 };
--- a/src/duty/quota-coverage.ts
+++ b/src/duty/quota-coverage.ts
@@ -1,77 +1,82 @@
 /**
- * Which proxies a holder of the quota duty has heard since it began to grant. A new holder knows nothing of the grants
- * of the last one, and its own roster may be partial, so the proxies tell how many of them they knew within the span of
- * the quota. Until each one was heard, or the span is over, a proxy not heard yet may let in its even part unseen. So may
- * one whose last word shows that an answer did not reach it in time, until its next word or until it counts as silent.
+ * Tracks which proxies the holder of the quota duty has heard since it took over. A new holder does not know the grants of its
+ * predecessor, and its roster may be incomplete, so each proxy reports how many proxies it knew within the span of the
+ * quota. Until that many were heard, or the span has passed, an unheard proxy may be admitting its even share without the
+ * holder's knowledge. The same holds for a proxy whose last report shows that a response did not reach it in time, until its
+ * next report or until it counts as silent.
  */
 import { Instant } from '../common/instant.js';
 
+/** Tracks which proxies were heard. */
 export type QuotaCoverage = {
-  /** Forgets all: this node holds the duty under a new term from now on. */
+  /** Discards everything: this node now holds the duty under a new term. */
   readonly reset: () => void;
-  /** The proxy told what it used, after the holder had ended listening; `isAlone`: it may let in its even part alone. */
+  /** Records a usage report received after the collection phase; `isAlone`: the proxy may be admitting its even share. */
   readonly markHeard: (node: string, isAlone: boolean) => void;
-  /** How many proxies one of them knew within the span of this team's quota. */
+  /** Records how many proxies one proxy knew within the span of this team's quota. */
   readonly recordProxyCount: (team: string, proxies: number) => void;
-  /** The most proxies that may let in requests of this team. */
+  /** The highest number of proxies that may admit requests of this team. */
   readonly proxyCount: (team: string) => number;
+  /** Whether no proxy can be admitting requests of this team without the holder's knowledge. */
   readonly isComplete: (team: string, span: number) => boolean;
-  /** Those on the roster that were not heard yet and not asked lately; they count as asked now. */
+  /** Proxies on the roster that were neither heard nor asked recently; they count as asked from now on. */
   readonly takeUnasked: () => readonly string[];
 };
 
-const askEvery = 500;
-const silentAfter = 3000;
-/** The roster itself is looked at a few times a second. */
-const lookEvery = 50;
+const askIntervalMs = 500;
+/** Time after which a proxy that sends nothing counts as silent. */
+const silentAfterMs = 3000;
+/** Minimum time between two comparisons with the roster. */
+const refreshIntervalMs = 50;
 
+/** Creates an empty record. */
 export const QuotaCoverage = {
   of(roster: () => readonly string[]): QuotaCoverage {
-    let began = Instant.now();
+    let startedAt = Instant.now();
     let heard = new Set<string>();
-    let alone = new Map<string, Instant>();
-    let told = new Map<string, number>();
+    let aloneSince = new Map<string, Instant>();
+    let reportedCounts = new Map<string, number>();
     let askedAt = Instant.past;
-    const count = (team: string): number => Math.max(1, roster().length, told.get(team) ?? 0);
-    let missing: readonly string[] = [];
-    let lookedAt = Instant.past;
+    const proxyCount = (team: string): number => Math.max(1, roster().length, reportedCounts.get(team) ?? 0);
+    let unheardProxies: readonly string[] = [];
+    let refreshedAt = Instant.past;
     const unheard = (): readonly string[] => {
-      if (Instant.since(lookedAt) < lookEvery) return missing;
-      lookedAt = Instant.now();
-      missing = roster().filter((node) => !heard.has(node));
-      return missing;
+      if (Instant.since(refreshedAt) < refreshIntervalMs) return unheardProxies;
+      refreshedAt = Instant.now();
+      unheardProxies = roster().filter((node) => !heard.has(node));
+      return unheardProxies;
     };
     return {
-      proxyCount: count,
+      proxyCount,
       reset() {
-        began = Instant.now();
+        startedAt = Instant.now();
         heard = new Set();
-        alone = new Map();
-        told = new Map();
+        aloneSince = new Map();
+        reportedCounts = new Map();
         askedAt = Instant.past;
-        lookedAt = Instant.past;
+        refreshedAt = Instant.past;
       },
       markHeard(node, isAlone) {
         if (isAlone) {
-          alone.set(node, Instant.now());
+          aloneSince.set(node, Instant.now());
           return;
         }
-        alone.delete(node);
+        aloneSince.delete(node);
         if (heard.has(node)) return;
         heard.add(node);
-        lookedAt = Instant.past;
+        refreshedAt = Instant.past;
       },
       recordProxyCount(team, proxies) {
-        told.set(team, Math.max(proxies, told.get(team) ?? 0));
+        reportedCounts.set(team, Math.max(proxies, reportedCounts.get(team) ?? 0));
       },
       isComplete(team, span) {
-        for (const [node, at] of alone) if (Instant.since(at) > silentAfter) alone.delete(node);
-        if (alone.size > 0) return false;
-        if (Instant.since(began) > span) return true;
-        return heard.size >= count(team) && unheard().length === 0;
+        for (const [node, at] of aloneSince) if (Instant.since(at) > silentAfterMs) aloneSince.delete(node);
+        if (aloneSince.size > 0) return false;
+        if (Instant.since(startedAt) > span) return true;
+        return heard.size >= proxyCount(team) && unheard().length === 0;
       },
       takeUnasked() {
-        if (Instant.since(askedAt) < askEvery) return [];
+        if (Instant.since(askedAt) < askIntervalMs) return [];
         askedAt = Instant.now();
         return unheard();
       },
--- a/src/duty/quota-duty.ts
+++ b/src/duty/quota-duty.ts
@@ -1,23 +1,37 @@
-// The quota duty at a core: says how much of each team's quota a proxy may let in next. It keeps nothing on
-// disk. Each proxy tells what it let in within the span and what it still holds; a grant ends after two seconds, and
-// one whose end was not told counts as used. A proxy that told all of its teams once tells only what changed, and any
-// word of it is a sign of life for all of them; from any other each team must be told again and again. A new holder
-// listens first, and asks each proxy for all. Until every proxy that it or they know of has told, or the quota's span is
-// over, it grants nothing beyond a proxy's even part, for that is what a proxy not heard yet lets in alone.
+/**
+ * The quota duty of a core: grants proxies parts of the quotas of teams. It stores nothing on disk. Each proxy reports what it
+ * admitted within the span of the quota and which grants it has not spent. A grant expires after two seconds, and counts as
+ * used unless its expiry was reported.
+ *
+ * A proxy that has reported all of its teams once then reports only changes, and any message from it renews the entries of all
+ * its teams. The entries of any other proxy expire unless they are reported repeatedly.
+ *
+ * A new holder first collects reports and requests a full one from each proxy. Until all proxies known to it or to any proxy
+ * have reported, or the span of the quota has passed, it grants each proxy no more than its even share, because an unheard
+ * proxy may be admitting that much by itself.
+ */
 import { Instant } from '../common/instant.js';
 import type { Frame } from '../wire/frame.js';
 import { QuotaCoverage } from './quota-coverage.js';
 import { UsageWindow } from './usage-window.js';
 
+/** Grants parts of quotas to proxies. */
 export type QuotaDuty = {
+  /** Discards all state if the epoch differs from the last one: the node holds the duty anew. */
   readonly observeEpoch: (epoch: number) => void;
+  /** Handles a report and returns the response, if there is one. */
   readonly receive: (frame: QuotaDuty.Tokens, epoch: number) => QuotaDuty.Tokens | undefined;
+  /** Usage by team. */
   readonly usage: () => Readonly<Record<string, QuotaDuty.Usage>>;
 };
 
+/** Messages and amounts of the duty. */
 export declare namespace QuotaDuty {
+  /** A message about retry tokens or quotas. */
   type Tokens = Extract<Frame.Body, { kind: 'tokens' }>;
+  /** The quota of a team; `span` is in milliseconds. */
   type Quota = Partial<UsageWindow.Usage> & { readonly span: number };
+  /** A team's usage, its quota, and the number of proxies that reported. */
   type Usage = {
     readonly used: UsageWindow.Usage;
     readonly quota: QuotaDuty.Quota;
@@ -25,32 +39,39 @@
   };
 }
 
-type Told = { readonly mine: UsageWindow.Usage; readonly at: Instant; readonly isLive: boolean };
-type Team = { readonly told: Map<string, Told>; readonly aging: Set<string>; sum: UsageWindow.Usage };
-type Proxy = { readonly teams: Set<string>; heard: Instant; isKnown: boolean };
+/** What a proxy used of a team's quota. `isAutoRenewed`: any message of the proxy renews it. */
+type Report = { readonly amount: UsageWindow.Usage; readonly at: Instant; readonly isAutoRenewed: boolean };
+/** The reports of a team by node. `aging`: nodes whose reports expire on their own. `sum`: the total of all reports. */
+type Team = { readonly reports: Map<string, Report>; readonly aging: Set<string>; sum: UsageWindow.Usage };
+type Proxy = { readonly teams: Set<string>; lastHeardAt: Instant; isRegistered: boolean };
 
 const grantLifetimeMs = 2000;
-const listenFor = 1200;
-const silentAfter = 3000;
-const forgetAfter = 60_000;
-const lookEvery = 50;
+/** How long a new holder collects reports before it grants anything. */
+const collectMs = 1200;
+/** Time after which a proxy that sends nothing counts as silent. */
+const silentAfterMs = 3000;
+/** Time after which a proxy without reports is forgotten. */
+const forgetAfterMs = 60_000;
+const refreshIntervalMs = 50;
 
-const least = (a: UsageWindow.Usage, b: UsageWindow.Usage): UsageWindow.Usage => ({
+const minimum = (a: UsageWindow.Usage, b: UsageWindow.Usage): UsageWindow.Usage => ({
   requests: Math.max(0, Math.floor(Math.min(a.requests, b.requests))),
   prompt: Math.max(0, Math.floor(Math.min(a.prompt, b.prompt))),
 });
-// A proxy that tells all, or does not speak for all, took no answer of this holder yet, or not in time. An earlier
-// program never speaks for all.
-const mayBeAlone = ({ uses, life = false, whole = false }: QuotaDuty.Tokens): boolean => {
+/**
+ * Whether the proxy may be admitting its even share by itself. One that sends a full report, or does not renew all of its
+ * entries, has received no response of this holder yet, or none in time. Earlier versions never renew all entries.
+ */
+const mayAdmitAlone = ({ uses, life = false, whole = false }: QuotaDuty.Tokens): boolean => {
   const isEarlier = uses.every(({ proxies = 0 }) => proxies === 0);
   return uses.length > 0 && !isEarlier && (whole || !life);
 };
-const less = (a: UsageWindow.Usage, b: UsageWindow.Usage): UsageWindow.Usage => ({
+const subtract = (a: UsageWindow.Usage, b: UsageWindow.Usage): UsageWindow.Usage => ({
   requests: a.requests - b.requests,
   prompt: a.prompt - b.prompt,
 });
 
-/** Asks a proxy, of any node, to tell all that it used; one that does not know it takes it for an empty grant. */
+/** Requests a full report from a proxy. A proxy of an earlier version takes it for an empty grant. */
 const reportRequest = {
   kind: 'tokens',
   epoch: 0,
@@ -62,153 +83,161 @@
   whole: true,
 } as const satisfies Omit<QuotaDuty.Tokens, 'node'>;
 
+/** Creates the quota duty of a core. */
 export const QuotaDuty = {
-  grantLifetimeMs: grantLifetimeMs,
-  reportRequest: reportRequest,
+  grantLifetimeMs,
+  reportRequest,
   of(needs: {
     readonly quotaOf: (team: string) => QuotaDuty.Quota | undefined;
-    /** The live proxies that this node knows of, of which it may miss some. */
+    /** The live proxies that this node knows; possibly incomplete. */
     readonly roster: () => readonly string[];
-    /** Asks a proxy to tell all that it used. */
+    /** Requests a full report from a proxy. */
     readonly requestReport: (node: string) => void;
   }): QuotaDuty {
-    const census = QuotaCoverage.of(needs.roster);
+    const coverage = QuotaCoverage.of(needs.roster);
     let teams = new Map<string, Team>();
     let proxies = new Map<string, Proxy>();
     let silent: readonly string[] = [];
-    let lookedAt = Instant.past;
+    let refreshedAt = Instant.past;
     let epoch = 0;
-    let began = Instant.now();
+    let startedAt = Instant.now();
     const proxyOf = (node: string): Proxy => {
-      const proxy = proxies.get(node) ?? { teams: new Set(), heard: Instant.now(), isKnown: false };
+      const proxy = proxies.get(node) ?? {
+        teams: new Set(),
+        lastHeardAt: Instant.now(),
+        isRegistered: false,
+      };
       proxies.set(node, proxy);
       return proxy;
     };
-    const set = (name: string, node: string, told: Told | undefined) => {
-      const team = teams.get(name) ?? { told: new Map(), aging: new Set(), sum: UsageWindow.zero };
+    const setReport = (name: string, node: string, report: Report | undefined) => {
+      const team = teams.get(name) ?? { reports: new Map(), aging: new Set(), sum: UsageWindow.zero };
       teams.set(name, team);
       team.sum = UsageWindow.sum(
-        less(team.sum, team.told.get(node)?.mine ?? UsageWindow.zero),
-        told?.mine ?? UsageWindow.zero,
+        subtract(team.sum, team.reports.get(node)?.amount ?? UsageWindow.zero),
+        report?.amount ?? UsageWindow.zero,
       );
-      if (told) team.told.set(node, told);
-      else team.told.delete(node);
-      if (team.told.size === 0) teams.delete(name);
-      if (told && !told.isLive) team.aging.add(node);
+      if (report) team.reports.set(node, report);
+      else team.reports.delete(node);
+      if (team.reports.size === 0) teams.delete(name);
+      if (report && !report.isAutoRenewed) team.aging.add(node);
       else team.aging.delete(node);
-      if (told) proxyOf(node).teams.add(name);
+      if (report) proxyOf(node).teams.add(name);
       else proxies.get(node)?.teams.delete(name);
     };
-    const silentNow = (): readonly string[] => {
-      if (Instant.since(lookedAt) < lookEvery) return silent;
-      lookedAt = Instant.now();
-      for (const [node, { heard, teams: told }] of proxies)
-        if (told.size === 0 && Instant.since(heard) > forgetAfter) proxies.delete(node);
-      silent = [...proxies].flatMap(([node, { heard }]) =>
-        Instant.since(heard) > silentAfter ? [node] : [],
+    const silentProxies = (): readonly string[] => {
+      if (Instant.since(refreshedAt) < refreshIntervalMs) return silent;
+      refreshedAt = Instant.now();
+      for (const [node, { lastHeardAt, teams: reportedTeams }] of proxies)
+        if (reportedTeams.size === 0 && Instant.since(lastHeardAt) > forgetAfterMs) proxies.delete(node);
+      silent = [...proxies].flatMap(([node, { lastHeardAt }]) =>
+        Instant.since(lastHeardAt) > silentAfterMs ? [node] : [],
       );
       return silent;
     };
-    // What all proxies used and hold; one that is silent may have let in its even part by now.
-    const count = (name: string, quota: QuotaDuty.Quota): UsageWindow.Usage => {
+    // Usage and unspent grants of all proxies. A silent proxy may have admitted its even share by now.
+    const countUsage = (name: string, quota: QuotaDuty.Quota): UsageWindow.Usage => {
       const team = teams.get(name);
       if (!team) return UsageWindow.zero;
-      const part = 1 / census.proxyCount(name);
+      const share = 1 / coverage.proxyCount(name);
       let extra = UsageWindow.zero;
-      for (const node of new Set([...silentNow(), ...team.aging])) {
-        const one = team.told.get(node);
-        if (!one) continue;
-        const since = Instant.since(one.isLive ? proxyOf(node).heard : one.at);
-        if (since > quota.span + grantLifetimeMs) set(name, node, undefined);
-        if (since <= silentAfter || since > quota.span + grantLifetimeMs) continue;
-        const { mine } = one;
+      for (const node of new Set([...silentProxies(), ...team.aging])) {
+        const report = team.reports.get(node);
+        if (!report) continue;
+        const since = Instant.since(report.isAutoRenewed ? proxyOf(node).lastHeardAt : report.at);
+        if (since > quota.span + grantLifetimeMs) setReport(name, node, undefined);
+        if (since <= silentAfterMs || since > quota.span + grantLifetimeMs) continue;
+        const { amount } = report;
         extra = UsageWindow.sum(extra, {
-          requests: Math.max(0, (quota.requests ?? 0) * part - mine.requests),
-          prompt: Math.max(0, (quota.prompt ?? 0) * part - mine.prompt),
+          requests: Math.max(0, (quota.requests ?? 0) * share - amount.requests),
+          prompt: Math.max(0, (quota.prompt ?? 0) * share - amount.prompt),
         });
       }
       return UsageWindow.sum(team.sum, extra);
     };
-    const note = (node: string, use: Frame.Use, given: UsageWindow.Usage) => {
-      const mine = UsageWindow.sum(use.used, UsageWindow.sum(use.holds, given));
-      const isLive = proxyOf(node).isKnown;
-      const isNothing = isLive && mine.requests === 0 && mine.prompt === 0;
-      set(use.team, node, isNothing ? undefined : { mine, at: Instant.now(), isLive });
+    const record = (node: string, use: Frame.Use, granted: UsageWindow.Usage) => {
+      const amount = UsageWindow.sum(use.used, UsageWindow.sum(use.holds, granted));
+      const isAutoRenewed = proxyOf(node).isRegistered;
+      const isEmpty = isAutoRenewed && amount.requests === 0 && amount.prompt === 0;
+      setReport(use.team, node, isEmpty ? undefined : { amount, at: Instant.now(), isAutoRenewed });
     };
-    const leftOfEvenPart = (use: Frame.Use, whole: UsageWindow.Usage): UsageWindow.Usage => {
-      const proxies = census.proxyCount(use.team);
-      const part = { requests: whole.requests / proxies, prompt: whole.prompt / proxies };
-      return less(part, UsageWindow.sum(use.used, use.holds));
+    const remainingShare = (use: Frame.Use, fullQuota: UsageWindow.Usage): UsageWindow.Usage => {
+      const proxies = coverage.proxyCount(use.team);
+      const share = { requests: fullQuota.requests / proxies, prompt: fullQuota.prompt / proxies };
+      return subtract(share, UsageWindow.sum(use.used, use.holds));
     };
-    const leftFor = (use: Frame.Use, quota: QuotaDuty.Quota): UsageWindow.Usage => {
-      const whole = {
+    const remainingFor = (use: Frame.Use, quota: QuotaDuty.Quota): UsageWindow.Usage => {
+      const fullQuota = {
         requests: quota.requests ?? Number.MAX_SAFE_INTEGER,
         prompt: quota.prompt ?? Number.MAX_SAFE_INTEGER,
       };
-      const left = less(whole, count(use.team, quota));
-      if (census.isComplete(use.team, quota.span + grantLifetimeMs)) return left;
-      for (const node of census.takeUnasked()) needs.requestReport(node);
-      return least(left, leftOfEvenPart(use, whole));
+      const left = subtract(fullQuota, countUsage(use.team, quota));
+      if (coverage.isComplete(use.team, quota.span + grantLifetimeMs)) return left;
+      for (const node of coverage.takeUnasked()) needs.requestReport(node);
+      return minimum(left, remainingShare(use, fullQuota));
     };
     const grant = (node: string, use: Frame.Use): Frame.Grant | undefined => {
       const quota = needs.quotaOf(use.team);
       if (!quota) return undefined;
-      note(node, use, UsageWindow.zero);
-      const left = leftFor(use, quota);
-      const ahead = 1 / (2 * census.proxyCount(use.team));
-      const given = least(left, {
+      record(node, use, UsageWindow.zero);
+      const left = remainingFor(use, quota);
+      const ahead = 1 / (2 * coverage.proxyCount(use.team));
+      const granted = minimum(left, {
         requests: Math.max(use.must.requests, Math.min(use.wanted.requests, left.requests * ahead)),
         prompt: Math.max(use.must.prompt, Math.min(use.wanted.prompt, left.prompt * ahead)),
       });
-      note(node, use, given);
-      return { team: use.team, ...given };
+      record(node, use, granted);
+      return { team: use.team, ...granted };
     };
-    // What a proxy told before and does not speak for now, of its last run or as an earlier program, ages by itself.
-    const leave = (node: string, proxy: Proxy, isSpoken: (team: string) => boolean) => {
+    // Entries that the proxy does not renew, from before its restart or as an earlier version, expire on their own.
+    const expireUnreported = (node: string, proxy: Proxy, isRenewed: (team: string) => boolean) => {
       for (const name of [...proxy.teams]) {
-        const told = teams.get(name)?.told.get(node);
-        if (told?.isLive && !isSpoken(name)) set(name, node, { ...told, at: proxy.heard, isLive: false });
+        const report = teams.get(name)?.reports.get(node);
+        if (report?.isAutoRenewed && !isRenewed(name))
+          setReport(name, node, { ...report, at: proxy.lastHeardAt, isAutoRenewed: false });
       }
     };
-    const hear = ({ node, uses, life = false, whole = false }: QuotaDuty.Tokens): boolean => {
+    const registerMessage = ({ node, uses, life = false, whole = false }: QuotaDuty.Tokens): boolean => {
       const proxy = proxyOf(node);
       if (whole || !life) {
-        const spoken = new Set(life ? uses.map(({ team }) => team) : []);
-        leave(node, proxy, (team) => spoken.has(team));
+        const renewed = new Set(life ? uses.map(({ team }) => team) : []);
+        expireUnreported(node, proxy, (team) => renewed.has(team));
       }
-      proxy.isKnown = life && (whole || proxy.isKnown);
-      proxy.heard = Instant.now();
-      return proxy.isKnown;
+      proxy.isRegistered = life && (whole || proxy.isRegistered);
+      proxy.lastHeardAt = Instant.now();
+      return proxy.isRegistered;
     };
-    const look = (under: number) => {
-      if (under === epoch) return;
-      epoch = under;
+    const observeEpoch = (newEpoch: number) => {
+      if (newEpoch === epoch) return;
+      epoch = newEpoch;
       teams = new Map();
       proxies = new Map();
-      census.reset();
-      lookedAt = Instant.past;
-      began = Instant.now();
+      coverage.reset();
+      refreshedAt = Instant.past;
+      startedAt = Instant.now();
     };
     return {
-      observeEpoch: look,
+      observeEpoch,
       usage() {
-        const list = [...teams].flatMap(([team, { told }]) => {
+        const list = [...teams].flatMap(([team, { reports }]) => {
           const quota = needs.quotaOf(team);
-          return quota ? [[team, { used: count(team, quota), quota, proxies: told.size }] as const] : [];
+          return quota
+            ? [[team, { used: countUsage(team, quota), quota, proxies: reports.size }] as const]
+            : [];
         });
         return Object.fromEntries(list);
       },
-      receive(frame, under) {
-        look(under);
-        const life = hear(frame);
+      receive(frame, newEpoch) {
+        observeEpoch(newEpoch);
+        const life = registerMessage(frame);
         const whole = frame.life === true && !life;
-        const response = { ...frame, epoch: under, batches: [], wanted: 0, uses: [], life, whole };
-        for (const { team, proxies: known = 0 } of frame.uses) census.recordProxyCount(team, known);
-        if (Instant.since(began) < listenFor) {
-          for (const use of frame.uses) note(frame.node, use, use.must);
+        const response = { ...frame, epoch: newEpoch, batches: [], wanted: 0, uses: [], life, whole };
+        for (const { team, proxies: known = 0 } of frame.uses) coverage.recordProxyCount(team, known);
+        if (Instant.since(startedAt) < collectMs) {
+          for (const use of frame.uses) record(frame.node, use, use.must);
           return frame.life ? { ...response, grants: [], listening: true } : undefined;
         }
-        if (!whole) census.markHeard(frame.node, mayBeAlone(frame));
+        if (!whole) coverage.markHeard(frame.node, mayAdmitAlone(frame));
         const grants = frame.uses.flatMap((use) => grant(frame.node, use) ?? []);
         return { ...response, grants, listening: false };
       },
--- a/src/duty/repeating-task.ts
+++ b/src/duty/repeating-task.ts
@@ -1,21 +1,29 @@
-// A duty's rounds: one step after another, each of which says how long to rest before the next. A step that fails
-// is told of and followed by the usual rest; stopping waits for the step under way.
+/**
+ * Runs a step repeatedly. Each step returns the pause before the next one. A step that fails is reported and followed by the
+ * default pause. Stopping waits for the step in progress.
+ */
 import { Timer } from '../common/timer.js';
 
+/** A task that repeats until it is stopped. */
 export type RepeatingTask = { readonly stop: () => Promise<void> };
 
+/** Starts repeating tasks. */
 export const RepeatingTask = {
-  run(step: () => Promise<number>, usualRest: number, onFailure: (error: unknown) => void): RepeatingTask {
+  run(
+    step: () => Promise<number>,
+    defaultPauseMs: number,
+    onFailure: (error: unknown) => void,
+  ): RepeatingTask {
     const stop = new AbortController();
     const run = async () => {
       while (!stop.signal.aborted) {
-        let rest = usualRest;
+        let pauseMs = defaultPauseMs;
         try {
-          rest = await step();
+          pauseMs = await step();
         } catch (error) {
           onFailure(error);
         }
-        await Timer.sleepAligned(rest, stop.signal);
+        await Timer.sleepAligned(pauseMs, stop.signal);
       }
     };
     const done = run();
--- a/src/duty/token-pool.ts
+++ b/src/duty/token-pool.ts
@@ -1,36 +1,44 @@
-// A purse holds tokens by the moment each was earned. A token exists once: it is added, and taken out to
-// be spent or passed on; one that has grown old is gone. Amounts are counted in thousandths, so that
-// fifths add up exactly.
+/**
+ * A pool of retry tokens that expire. A token exists only once: it is added, and then taken to be spent or passed on. Amounts
+ * are counted in thousandths of a token, so that fractions such as a fifth add up exactly.
+ */
 import { Instant } from '../common/instant.js';
 
+/** A pool of tokens with their ages. */
 export type TokenPool = {
+  /** Adds batches; expired ones are ignored. */
   readonly add: (batches: readonly TokenPool.Batch[]) => void;
+  /** Takes the oldest tokens, or the newest ones; undefined if there are not enough. */
   readonly take: (amount: number, newest?: boolean) => readonly TokenPool.Batch[] | undefined;
-  /** How much is held of what stays good for at least the span given, in milliseconds, or else of all. */
-  readonly total: (lasting?: number) => number;
+  /** The amount that stays valid for at least the given number of milliseconds. */
+  readonly total: (minRemainingMs?: number) => number;
 };
 
+/** Amounts of tokens. */
 export declare namespace TokenPool {
+  /** An amount in thousandths of a token, and its age in milliseconds. */
   type Batch = { readonly amount: number; readonly age: number };
 }
 
 type Held = { amount: number; readonly born: Instant };
 
 const lifetimeMs = 5000;
-const grain = 500;
+/** Tokens earned within this time share one batch. */
+const batchMs = 500;
 
+/** Creates token pools. */
 export const TokenPool = {
-  lifetimeMs: lifetimeMs,
+  lifetimeMs,
   of(): TokenPool {
     let held: Held[] = [];
-    const expire = () => {
+    const removeExpired = () => {
       if (held.length > 0 && Instant.since(held[0]!.born) > lifetimeMs)
         held = held.filter((one) => Instant.since(one.born) <= lifetimeMs);
     };
-    const total = (lasting = 0) => {
-      expire();
+    const total = (minRemainingMs = 0) => {
+      removeExpired();
       return held
-        .filter((one) => Instant.since(one.born) <= lifetimeMs - lasting)
+        .filter((one) => Instant.since(one.born) <= lifetimeMs - minRemainingMs)
         .reduce((sum, one) => sum + one.amount, 0);
     };
     return {
@@ -39,8 +47,8 @@
         for (const { amount, age } of batches) {
           if (!(amount > 0) || !(age >= 0) || age > lifetimeMs) continue;
           const born = Instant.after(-age);
-          const near = held.find((one) => born >= one.born && born - one.born < grain);
-          if (near) near.amount += amount;
+          const existing = held.find((one) => born >= one.born && born - one.born < batchMs);
+          if (existing) existing.amount += amount;
           else held = [...held, { amount, born }].sort((a, b) => a.born - b.born);
         }
       },
--- a/src/duty/usage-window.ts
+++ b/src/duty/usage-window.ts
@@ -1,21 +1,30 @@
-// What was used within the last span, kept in a few dozen slots. A slot counts until all of it is older than
-// the span, so the sum is never too low.
+/**
+ * Usage within a sliding window, kept in time slots. A slot counts until all of it is older than the window, so the sum is
+ * never too low.
+ */
 import { Instant } from '../common/instant.js';
 
+/** Sums the usage within a sliding window. */
 export type UsageWindow = {
-  readonly add: (work: UsageWindow.Usage) => () => void;
+  /** Adds usage; the returned function reverts it. */
+  readonly add: (usage: UsageWindow.Usage) => () => void;
+  /** The usage within the window. */
   readonly total: () => UsageWindow.Usage;
+  /** Milliseconds until the oldest slot expires; 0 if there is none. */
   readonly nextExpiryIn: () => number;
 };
 
+/** Amounts of usage. */
 export declare namespace UsageWindow {
+  /** A number of requests and the total size of their prompts. */
   type Usage = { readonly requests: number; readonly prompt: number };
 }
 
 type Slot = { requests: number; prompt: number; readonly from: Instant };
 
-const slots = 40;
+const slotCount = 40;
 
+/** Creates windows and adds usage. */
 export const UsageWindow = {
   zero: { requests: 0, prompt: 0 } as UsageWindow.Usage,
   sum: (a: UsageWindow.Usage, b: UsageWindow.Usage): UsageWindow.Usage => ({
@@ -23,17 +32,17 @@
     prompt: a.prompt + b.prompt,
   }),
   of(span: number): UsageWindow {
-    const grain = span / slots;
-    let held: Slot[] = [];
-    const prune = () => {
-      held = held.filter((slot) => Instant.since(slot.from) <= span + grain);
+    const slotMs = span / slotCount;
+    let slots: Slot[] = [];
+    const removeExpired = () => {
+      slots = slots.filter((slot) => Instant.since(slot.from) <= span + slotMs);
     };
     return {
       add({ requests, prompt }) {
-        const last = held.at(-1);
+        const last = slots.at(-1);
         const slot =
-          last && Instant.since(last.from) < grain ? last : { requests: 0, prompt: 0, from: Instant.now() };
-        if (slot !== last) held.push(slot);
+          last && Instant.since(last.from) < slotMs ? last : { requests: 0, prompt: 0, from: Instant.now() };
+        if (slot !== last) slots.push(slot);
         slot.requests += requests;
         slot.prompt += prompt;
         return () => {
@@ -42,13 +51,13 @@
         };
       },
       total() {
-        prune();
-        return held.reduce<UsageWindow.Usage>(UsageWindow.sum, UsageWindow.zero);
+        removeExpired();
+        return slots.reduce<UsageWindow.Usage>(UsageWindow.sum, UsageWindow.zero);
       },
       nextExpiryIn() {
-        prune();
-        const first = held[0];
-        return first ? Math.max(0, span + grain - Instant.since(first.from)) : 0;
+        removeExpired();
+        const first = slots[0];
+        return first ? Math.max(0, span + slotMs - Instant.since(first.from)) : 0;
       },
     };
   },
--- a/src/proxy/header-filter.ts
+++ b/src/proxy/header-filter.ts
@@ -1,9 +1,12 @@
-// Headers at the edge. Hop-by-hop headers, the caller's key, our own names and the controls that only
-// a trusted proxy may set never reach a server; a server's hop-by-hop headers and our names never reach
-// a caller.
+/**
+ * Filters headers at the edge. Hop-by-hop headers, the client's key, internal headers and the controls that only a trusted
+ * proxy may set are never forwarded to a server. Hop-by-hop and internal headers of a server are never returned to a
+ * client.
+ */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dialect } from './dialect.js';
 
+/** Filtered headers. */
 export type HeaderFilter = Readonly<Record<string, string>>;
 
 const hopByHop = new Set([
@@ -17,11 +20,11 @@
   'transfer-encoding',
   'upgrade',
 ]);
-const ours = ['bramblebend-', 'x-envoy-'];
-const notUp = new Set(['content-length', 'expect']);
+const internalPrefixes = ['bramblebend-', 'x-envoy-'];
+const notForwarded = new Set(['content-length', 'expect']);
 
-/** What the Connection header lists, but for what belongs to the message and not to the connection. */
-const named = (headers: IncomingHttpHeaders, isNeeded: (name: string) => boolean): Set<string> =>
+/** Names listed in the Connection header, except those that belong to the message rather than to the connection. */
+const connectionHeaders = (headers: IncomingHttpHeaders, isNeeded: (name: string) => boolean): Set<string> =>
   new Set(
     (headers.connection ?? '')
       .split(',')
@@ -29,35 +32,40 @@
       .filter((name) => name !== 'host' && !name.startsWith('content-') && !isNeeded(name)),
   );
 
-const isOurs = (name: string): boolean => ours.some((start) => name.startsWith(start));
+const isInternal = (name: string): boolean => internalPrefixes.some((prefix) => name.startsWith(prefix));
 
+/** Filters the headers of requests and responses. */
 export const HeaderFilter = {
+  /** The request headers to forward to a server. */
   requestHeaders(
     headers: IncomingHttpHeaders,
     { isKept, isNeeded }: Pick<Dialect, 'isKept' | 'isNeeded'>,
   ): Record<string, string> {
-    const listed = named(headers, isNeeded);
+    const connectionListed = connectionHeaders(headers, isNeeded);
     return Object.fromEntries(
       Object.entries(headers).flatMap(([name, value]) =>
         value === undefined ||
         hopByHop.has(name) ||
-        notUp.has(name) ||
+        notForwarded.has(name) ||
         !isKept(name) ||
-        isOurs(name) ||
-        listed.has(name)
+        isInternal(name) ||
+        connectionListed.has(name)
           ? []
           : [[name, Array.isArray(value) ? value.join(', ') : value]],
       ),
     );
   },
+  /** The response headers to return to the client. */
   responseHeaders(
     headers: IncomingHttpHeaders,
     { isNeeded }: Pick<Dialect, 'isNeeded'>,
   ): Record<string, string | string[]> {
-    const listed = named(headers, isNeeded);
+    const connectionListed = connectionHeaders(headers, isNeeded);
     return Object.fromEntries(
       Object.entries(headers).flatMap(([name, value]) =>
-        value === undefined || hopByHop.has(name) || isOurs(name) || listed.has(name) ? [] : [[name, value]],
+        value === undefined || hopByHop.has(name) || isInternal(name) || connectionListed.has(name)
+          ? []
+          : [[name, value]],
       ),
     );
   },
--- a/src/proxy/leaving-servers.ts
+++ b/src/proxy/leaving-servers.ts
@@ -1,49 +1,55 @@
-// Servers that a core without a primary saw leaving. They get nothing new until a primary renews the list, which is
-// then what counts, or until nobody has said so again for a while.
+/**
+ * Servers that a core without a primary reported as leaving. They get no new requests until a primary publishes a new list,
+ * which then takes precedence, or until the report has not been repeated for some time.
+ */
 import { Instant } from '../common/instant.js';
 import { Timer } from '../common/timer.js';
 import type { View } from '../manifest/view.js';
 
+/** Tracks the servers reported as leaving. */
 export type LeavingServers = {
+  /** Records or renews a report. */
   readonly add: (instances: readonly string[]) => void;
-  /** The view with what was heard; what an older list was told of is forgotten. */
+  /** The view with the reported servers marked as leaving; reports that refer to an older list are discarded. */
   readonly applyTo: (view: View) => View;
   readonly instances: () => readonly string[];
   readonly stop: () => void;
 };
 
-const keptFor = 10_000;
+/** How long a report that is not repeated stays valid. */
+const lifetimeMs = 10_000;
 
+/** Creates trackers of leaving servers. */
 export const LeavingServers = {
-  of(needs: { readonly serial: () => number; readonly onChange: () => void }): LeavingServers {
-    const until = new Map<string, Instant>();
+  of(dependencies: { readonly serial: () => number; readonly onChange: () => void }): LeavingServers {
+    const expiresAt = new Map<string, Instant>();
     let serial = 0;
-    const forget = (isOver: (end: Instant) => boolean): boolean => {
-      const before = until.size;
-      for (const [instance, end] of until) if (isOver(end)) until.delete(instance);
-      return until.size < before;
+    const removeIf = (isExpired: (end: Instant) => boolean): boolean => {
+      const before = expiresAt.size;
+      for (const [instance, end] of expiresAt) if (isExpired(end)) expiresAt.delete(instance);
+      return expiresAt.size < before;
     };
-    const late = Timer.after(keptFor, () => {
-      if (forget(Instant.isPast)) needs.onChange();
+    const expiryTimer = Timer.after(lifetimeMs, () => {
+      if (removeIf(Instant.isPast)) dependencies.onChange();
     });
-    late.stop();
+    expiryTimer.stop();
     return {
       add(instances) {
-        if (serial !== needs.serial()) forget(() => true);
-        serial = needs.serial();
-        const isNew = instances.some((instance) => !until.has(instance));
-        for (const instance of instances) until.set(instance, Instant.after(keptFor));
-        late.reschedule(keptFor + 1);
-        if (isNew) needs.onChange();
+        if (serial !== dependencies.serial()) removeIf(() => true);
+        serial = dependencies.serial();
+        const isNew = instances.some((instance) => !expiresAt.has(instance));
+        for (const instance of instances) expiresAt.set(instance, Instant.after(lifetimeMs));
+        expiryTimer.reschedule(lifetimeMs + 1);
+        if (isNew) dependencies.onChange();
       },
       applyTo(view) {
-        if (view.platform.serial !== serial) forget(() => true);
-        if (until.size === 0) return view;
-        const leaving = [...new Set([...view.platform.leaving, ...until.keys()])];
+        if (view.platform.serial !== serial) removeIf(() => true);
+        if (expiresAt.size === 0) return view;
+        const leaving = [...new Set([...view.platform.leaving, ...expiresAt.keys()])];
         return { ...view, platform: { ...view.platform, leaving } };
       },
-      instances: () => [...until.keys()],
-      stop: late.stop,
+      instances: () => [...expiresAt.keys()],
+      stop: expiryTimer.stop,
     };
   },
 };
--- a/src/proxy/meters.ts
+++ b/src/proxy/meters.ts
@@ -1,20 +1,25 @@
-// What a proxy counts of its calls.
+/**
+ * Metrics of a proxy.
+ */
 import type { Stamp } from '../common/stamp.js';
 import { Metrics } from '../startup/metrics.js';
 
+/** The metrics of a proxy. */
 export type Meters = ReturnType<typeof Meters.of>;
 
-const bounds = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10, 30];
+/** Histogram bucket bounds, in seconds. */
+const firstByteBuckets = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10, 30];
 
+/** Creates the metrics of a proxy. */
 export const Meters = {
-  of(terms: { stamp: () => Stamp; held: () => number; active: () => number; age: () => number }) {
+  of(sources: { stamp: () => Stamp; held: () => number; active: () => number; age: () => number }) {
     const metrics = Metrics.of();
     const { gauge, counter } = metrics;
-    gauge('epoch', 'epoch of the manifest in force', () => terms.stamp().epoch);
-    gauge('revision', 'revision of the state in force', () => terms.stamp().revision);
-    gauge('tokens', 'tokens for extra tries held here', terms.held);
-    gauge('active_requests', 'requests being served', terms.active);
-    gauge('news_age_seconds', 'age of the last word from the primary', () => terms.age() / 1000);
+    gauge('epoch', 'epoch of the manifest in force', () => sources.stamp().epoch);
+    gauge('revision', 'revision of the state in force', () => sources.stamp().revision);
+    gauge('tokens', 'tokens for extra tries held here', sources.held);
+    gauge('active_requests', 'requests being served', sources.active);
+    gauge('news_age_seconds', 'age of the last word from the primary', () => sources.age() / 1000);
     return {
       metrics,
       requests: counter('requests_total', 'requests by rule and outcome', ['rule', 'outcome']),
@@ -38,7 +43,7 @@
         'first_byte_seconds',
         'time from arrival to commit, by rule',
         ['rule'],
-        bounds,
+        firstByteBuckets,
       ),
     };
   },
--- a/src/proxy/program.ts
+++ b/src/proxy/program.ts
@@ -1,5 +1,7 @@
-// The proxy as a program: the callers' port, the operations port, and the session with its agent over
-// loopback. It serves on under its last manifest when the agent or the control plane is gone.
+/**
+ * The proxy process: the client port, the operations port, and the link to its agent over loopback. If the agent or the
+ * control plane is unavailable, the proxy keeps serving with its last manifest.
+ */
 import { Address } from '../common/address.js';
 import { Failure } from '../common/failure.js';
 import { Id } from '../common/id.js';
@@ -37,8 +39,12 @@
 import { Shares } from './shares.js';
 import { Stall } from './stall.js';
 
+/** Starts a proxy. */
 export type ProxyProgram = {
-  /** With `join` the agent is in this process, and the address given for it only names it. */
+  /**
+   * Starts a proxy and returns once it listens. With `join`, the agent runs in this process, and its configured address only
+   * identifies it.
+   */
   readonly start: (
     startup: Startup['proxy'],
     ring: LogBuffer,
@@ -47,22 +53,23 @@
   ) => Promise<Program>;
 };
 
+/** Starts a proxy. */
 export const ProxyProgram: ProxyProgram = {
   async start(startup, ring, dialect = Dialect, join = undefined) {
     const feed = Feed.of();
-    type Told = Pick<
+    type TokenReport = Pick<
       Extract<Frame.Body, { kind: 'tokens' }>,
       'batches' | 'wanted' | 'serial' | 'uses' | 'life' | 'whole'
     >;
-    const sendUp = (told: Told) =>
-      uplink.send({ kind: 'tokens', node: startup.node, epoch: 0, grants: [], ...told });
+    const sendTokens = (report: TokenReport) =>
+      uplink.send({ kind: 'tokens', node: startup.node, epoch: 0, grants: [], ...report });
     const quotas = QuotaLimiter.of({
       proxies: () => roster.length,
-      send: (serial, uses, told) => sendUp({ batches: [], wanted: 0, serial, uses, ...told }),
+      send: (serial, uses, flags) => sendTokens({ batches: [], wanted: 0, serial, uses, ...flags }),
     });
     const extra = startup.extra_tries;
     const budget = Budget.of(
-      (batches, wanted) => sendUp({ batches, wanted, serial: 0, uses: [] }),
+      (batches, wanted) => sendTokens({ batches, wanted, serial: 0, uses: [] }),
       extra && {
         get tries() {
           return extra.count;
@@ -73,7 +80,7 @@
         proxies: () => roster.length,
       },
     );
-    const tending = Timer.every(500, () => {
+    const maintenance = Timer.every(500, () => {
       budget.maintain();
       quotas.maintain();
       const failed = failures.untold();
@@ -87,22 +94,22 @@
     let isDraining = false;
     let compiled: Compiled | undefined;
     const meters = Meters.of({
-      stamp: () => inForce(),
+      stamp: () => currentStamp(),
       held: budget.held,
       active: () => active,
       age: feed.age,
     });
     const ejector = Ejector.of((server, span, why) => {
       meters.ejections.inc({ group: server.group });
-      ring.info('ejected', { instance: server.instance, span, why });
+      ring.info('server ejected', { instance: server.instance, span, why });
     });
     const pool = Pool.of({
       newest: () => compiled,
       onWrong(server, cause) {
         meters.wrongIdentities.inc({ group: server.group });
         const facts = { instance: server.instance, why: Failure.text(cause), ...Failure.info(cause) };
-        if (prover.isDark(server.instance)) ring.info('wrong identity still', facts);
-        else ring.error('wrong identity', facts);
+        if (prover.isDark(server.instance)) ring.info('server identity still does not match', facts);
+        else ring.error('server identity does not match', facts);
       },
       onEnded: (server) => prover.suspect(server),
       proxies: () => roster.length,
@@ -126,60 +133,60 @@
       onDark({ instance, group }) {
         meters.darkServers.inc({ group });
         ramp.doubt(instance);
-        ring.info('dark', { instance });
+        ring.info('server marked dark', { instance });
         uplink.send({ kind: 'cold', instance, age: 0, dark: true });
       },
       onBack({ instance }) {
-        ring.info('back from the dark', { instance });
-        onCold(instance);
+        ring.info('server no longer dark', { instance });
+        startRamp(instance);
         uplink.send({ kind: 'cold', instance, age: 0, dark: false });
       },
     });
-    const onCold = (instance: string, age = 0) => {
+    const startRamp = (instance: string, age = 0) => {
       if (ramp.begin(instance, age)) ring.info('fed gently', { instance });
     };
-    const warm = (before: Compiled | undefined, server: Compiled.Server, group: Compiled.Group) => {
+    const startWarmup = (before: Compiled | undefined, server: Compiled.Server, group: Compiled.Group) => {
       const known = before?.servers.get(server.instance);
       if (known === undefined || known.warming !== server.warming)
         warmup.begin(server.instance, server.warming);
       if (known?.isOpen === false && server.isOpen && group.warmup)
         warmup.begin(server.instance, group.warmup.span);
     };
-    const feedGently = (before: Compiled | undefined, after: Compiled) => {
+    const startNewServers = (before: Compiled | undefined, after: Compiled) => {
       for (const server of after.servers.values()) {
         const group = after.groups.get(server.group);
         if (group?.proof) {
-          warm(before, server, group);
+          startWarmup(before, server, group);
           continue;
         }
         const isNew = server.isOpen && before?.servers.get(server.instance)?.isOpen !== true;
         const hadServers = (before?.groups.get(server.group)?.servers.length ?? 0) > 0;
-        if (isNew && hadServers) onCold(server.instance);
+        if (isNew && hadServers) startRamp(server.instance);
       }
-      for (const kept of [ramp, warmup]) kept.retain((instance) => after.servers.has(instance));
+      for (const tracker of [ramp, warmup]) tracker.retain((instance) => after.servers.has(instance));
       placement.retain(after);
       failures.retain((instance) => after.servers.has(instance));
     };
-    const inForce = () => compiled?.stamp ?? Stamp.none;
-    const enforce = () => {
+    const currentStamp = () => compiled?.stamp ?? Stamp.none;
+    const applyView = () => {
       if (!voucher.isVouched()) return;
       const before = compiled;
       compiled = Compiled.of(departures.applyTo(feed.view()));
       if (!compiled) return;
-      feedGently(before, compiled);
+      startNewServers(before, compiled);
       if (!before) firstManifest.markArrived();
-      limit(compiled.limits);
-      ring.info('in force', { stamp: Stamp.text(compiled.stamp) });
+      setLimits(compiled.limits);
+      ring.info('manifest applied', { stamp: Stamp.text(compiled.stamp) });
       pool.retain(compiled);
       ejector.retain(compiled);
       prover.retain(compiled);
     };
     const departures = LeavingServers.of({
       serial: () => feed.view().platform.serial,
-      onChange: () => enforce(),
+      onChange: () => applyView(),
     });
-    const voucher = Voucher.of(feed, enforce);
-    feed.watch(enforce);
+    const voucher = Voucher.of(feed, applyView);
+    feed.watch(applyView);
     const ready = Ready.of({
       zone: startup.zone,
       isDraining: () => isDraining,
@@ -187,7 +194,7 @@
       listSerial: () => feed.view().platform.serial,
     });
     const isReady = ready.reason;
-    const { server, setLimits: limit } = ProxyServer.of(
+    const { server, setLimits } = ProxyServer.of(
       {
         compiled: () => compiled,
         firstManifest,
@@ -227,7 +234,7 @@
       describe: () => ({
         node: startup.node,
         boot,
-        stamp: inForce(),
+        stamp: currentStamp(),
         out: ejector.out(),
         dark: prover.dark(),
         leaving: departures.instances(),
@@ -243,7 +250,7 @@
       program: 'proxy',
       zone: startup.zone,
       boot,
-      stamp: inForce(),
+      stamp: currentStamp(),
       http: Address.text(listening),
       wire: '',
       ops: Address.text(opsAt),
@@ -275,12 +282,12 @@
           ramp.doubt(instance);
         } else {
           prover.hearBack(instance);
-          onCold(instance, age);
+          startRamp(instance, age);
         }
       },
-      onTokens({ epoch, batches, serial, grants, ...told }) {
-        if (serial > 0) quotas.applyGrants(epoch, serial, grants, told);
-        else if (told.whole) quotas.reportAll();
+      onTokens({ epoch, batches, serial, grants, ...flags }) {
+        if (serial > 0) quotas.applyGrants(epoch, serial, grants, flags);
+        else if (flags.whole) quotas.reportAll();
         else budget.grant(epoch, batches);
       },
       note: ring.info,
@@ -307,7 +314,7 @@
         await pool.close();
         departures.stop();
         stall.stop();
-        tending.stop();
+        maintenance.stop();
         ops.close();
       },
     };
--- a/src/proxy/quota-limiter.ts
+++ b/src/proxy/quota-limiter.ts
@@ -1,12 +1,18 @@
-// How much of a team's quota this proxy may still let in. It asks the quota duty, one question at a time, and
-// holds each grant for two seconds. Without an answer it is cut off: then it lets in its even part of the
-// quota among the most proxies it ever knew, and no more; in its first seconds, when it may not know the
-// others, it rather waits. What it let in is remembered here and told: all of it once, and then twice a second of the
-// teams of which the duty's holder believes something else, and of those with steady work; the word speaks for the
-// others too. For requests that wait it asks at once and together, only of their teams. A holder that asks for all, or
-// did not answer, is told all again at once, for a new one listens but a short while; one that knows no such words, always.
-// With each team goes how many proxies this one knew within the span, since a new holder may not know them all.
-
+/**
+ * Admission of requests against team quotas. The proxy requests grants from the holder of the quota duty, one request at a
+ * time, and may spend each grant for two seconds. If no response arrives, it admits up to its even share of the quota
+ * alone, computed with the highest number of proxies it has ever known. Shortly after its start, when it may not know
+ * the other proxies yet, it waits instead.
+ *
+ * The proxy keeps a record of what it admitted and reports it: all teams once, and then, twice a second, those teams
+ * whose usage differs from what the holder last received and those with steady traffic. Each report also renews the
+ * entries of the other teams. Requests that wait for a grant trigger a report at once, together, for their teams only. A
+ * holder that asks for a full report, or that did not respond, gets a full report at once, because a new holder collects
+ * reports only for a short time. A holder of an earlier version, which does not support incremental reports, always gets
+ * full ones.
+ *
+ * Each report states how many proxies this one has known within the quota's span, because a new holder may not know all.
+ */
 import { Instant } from '../common/instant.js';
 import { Timer } from '../common/timer.js';
 import { UsageWindow } from '../duty/usage-window.js';
@@ -15,272 +21,295 @@
 import type { Frame } from '../wire/frame.js';
 import { PeakProxyCount } from './peak-proxy-count.js';
 
+/** Admits requests against the quotas of their teams. */
 export type QuotaLimiter = {
+  /** Charges a request with the given prompt size to its team, or refuses it. */
   readonly admit: (team: Compiled.Team, prompt: number) => Promise<QuotaLimiter.Verdict>;
+  /** Applies the response of the duty holder under the given epoch to the request with this serial. */
   readonly applyGrants: (
     epoch: number,
     serial: number,
     grants: readonly Frame.Grant[],
-    told?: { readonly life?: boolean; readonly whole?: boolean; readonly listening?: boolean },
+    flags?: { readonly life?: boolean; readonly whole?: boolean; readonly listening?: boolean },
   ) => void;
-  /** The duty's holder, which has not heard this proxy yet, asks for all that it used. */
+  /** Sends a full report; the duty holder, which has no report of this proxy yet, requested it. */
   readonly reportAll: () => void;
+  /** Sends the periodic report and forgets idle teams; called twice a second. */
   readonly maintain: () => void;
 };
 
+/** Results and dependencies of the limiter. */
 export declare namespace QuotaLimiter {
+  /** Whether the request is admitted; `refund` reverts the charge. `retryAfter` is in milliseconds. */
   type Verdict =
     | { readonly kind: 'in'; readonly refund: () => void }
     | { readonly kind: 'over'; readonly retryAfter: number };
+  /** What the limiter needs from the proxy. */
   type Dependencies = {
+    /** Number of live proxies that this one knows. */
     readonly proxies: () => number;
+    /** Sends a report to the duty holder; false if there is no connection. */
     readonly send: (
       serial: number,
       uses: readonly Frame.Use[],
-      told: { readonly life: boolean; readonly whole: boolean },
+      flags: { readonly life: boolean; readonly whole: boolean },
     ) => boolean;
   };
 }
 
+/** State of one team: its usage, the unspent grant, and what the duty holder knows of them. */
 type Account = {
-  readonly ledger: UsageWindow;
+  readonly window: UsageWindow;
   readonly span: number;
-  holds: UsageWindow.Usage;
-  until: Instant;
+  grant: UsageWindow.Usage;
+  grantExpiresAt: Instant;
   readonly waiting: Set<UsageWindow.Usage>;
-  lately: UsageWindow.Usage;
-  touched: Instant;
-  chargedAt: Instant;
+  /** Usage admitted since the last report. */
+  recent: UsageWindow.Usage;
+  lastUsedAt: Instant;
+  lastChargedAt: Instant;
   isSteady: boolean;
-  believed: UsageWindow.Usage | undefined;
+  /** What the duty holder has recorded for this team; undefined if not known. */
+  acknowledged: UsageWindow.Usage | undefined;
 };
-type Told = ReadonlyMap<string, { readonly spoken: UsageWindow.Usage; readonly isWaiting: boolean }>;
-type Question = {
+type ReportedTeams = ReadonlyMap<
+  string,
+  { readonly reported: UsageWindow.Usage; readonly isWaiting: boolean }
+>;
+type GrantRequest = {
   readonly serial: number;
-  told: Told;
-  isNoted: boolean;
+  teams: ReportedTeams;
+  isAcknowledged: boolean;
   readonly at: Instant;
   readonly answered: Promise<boolean>;
-  readonly settle: (isAnswered: boolean) => void;
-  readonly stopWaiting: () => void;
+  readonly resolve: (isAnswered: boolean) => void;
+  readonly cancelTimeout: () => void;
 };
 
-const grantFor = 2000;
-const responseWithin = 400;
-const waitWhileYoung = 2500;
-const youngFor = 5000;
+/** How long a grant may be spent, counted from its request. */
+const grantLifetimeMs = 2000;
+/** Time after which a request for grants counts as unanswered. */
+const responseTimeoutMs = 400;
+/** Longest time that a request waits for an answer while the proxy is starting up. */
+const maxStartupWaitMs = 2500;
+/** Time after the start in which the proxy may not know the other proxies yet. */
+const startupMs = 5000;
 
 const isEqual = (a: UsageWindow.Usage, b: UsageWindow.Usage | undefined): boolean =>
   a.requests === b?.requests && a.prompt === b.prompt;
 
-const ask = (serial: number, onLate: (question: Question) => void): Question => {
-  let settle: (isAnswered: boolean) => void = () => {};
-  const answered = new Promise<boolean>((resolve) => {
-    settle = resolve;
+const openRequest = (serial: number, onTimeout: (request: GrantRequest) => void): GrantRequest => {
+  let resolve: (isAnswered: boolean) => void = () => {};
+  const answered = new Promise<boolean>((resolvePromise) => {
+    resolve = resolvePromise;
   });
-  const late = Timer.after(responseWithin, () => onLate(made));
-  const made: Question = {
+  const timeout = Timer.after(responseTimeoutMs, () => onTimeout(request));
+  const request: GrantRequest = {
     serial,
-    told: new Map(),
-    isNoted: false,
+    teams: new Map(),
+    isAcknowledged: false,
     at: Instant.now(),
     answered,
-    settle,
-    stopWaiting: late.stop,
+    resolve,
+    cancelTimeout: timeout.stop,
   };
-  return made;
+  return request;
 };
 
+/** Creates quota limiters. */
 export const QuotaLimiter = {
-  of(needs: QuotaLimiter.Dependencies): QuotaLimiter {
+  of(dependencies: QuotaLimiter.Dependencies): QuotaLimiter {
     const accounts = new Map<string, Account>();
     let serial = 0;
-    const most = PeakProxyCount.of();
+    const proxyCount = PeakProxyCount.of();
     let epoch = 0;
     const started = Instant.now();
-    const isYoung = () => Instant.since(started) < youngFor;
-    let open: Question | undefined;
-    let isDue = false;
-    let isKnown = false;
+    const isStartingUp = () => Instant.since(started) < startupMs;
+    let pending: GrantRequest | undefined;
+    let isReportDue = false;
+    let isRegistered = false;
     const accountOf = (team: string, { span }: Document.Quota): Account => {
       const known = accounts.get(team);
       if (known?.span === span) {
-        known.touched = Instant.now();
+        known.lastUsedAt = Instant.now();
         return known;
       }
       const made = {
-        ledger: UsageWindow.of(span),
+        window: UsageWindow.of(span),
         span,
-        holds: UsageWindow.zero,
-        until: Instant.past,
+        grant: UsageWindow.zero,
+        grantExpiresAt: Instant.past,
         waiting: new Set<UsageWindow.Usage>(),
-        lately: UsageWindow.zero,
-        touched: Instant.now(),
-        chargedAt: Instant.past,
+        recent: UsageWindow.zero,
+        lastUsedAt: Instant.now(),
+        lastChargedAt: Instant.past,
         isSteady: false,
-        believed: undefined,
+        acknowledged: undefined,
       };
       accounts.set(team, made);
       return made;
     };
-    const holdsOf = (account: Account): UsageWindow.Usage =>
-      Instant.isPast(account.until) ? UsageWindow.zero : account.holds;
-    const spokenOf = (account: Account) => UsageWindow.sum(account.ledger.total(), holdsOf(account));
-    const isToTell = (account: Account): boolean =>
-      !isKnown ||
-      !isEqual(spokenOf(account), account.believed) ||
-      (account.isSteady && account.lately.requests > 0);
-    // What waited for a question without an answer is let in alone in this turn of the event loop; the next question is
-    // put after it, so that it tells of them.
-    let isSettling = false;
-    let put: (() => void) | undefined;
-    const fail = (failed: Question) => {
-      isSettling = true;
-      failed.settle(false);
+    const unspentGrantOf = (account: Account): UsageWindow.Usage =>
+      Instant.isPast(account.grantExpiresAt) ? UsageWindow.zero : account.grant;
+    const reportedUsageOf = (account: Account) =>
+      UsageWindow.sum(account.window.total(), unspentGrantOf(account));
+    const needsReport = (account: Account): boolean =>
+      !isRegistered ||
+      !isEqual(reportedUsageOf(account), account.acknowledged) ||
+      (account.isSteady && account.recent.requests > 0);
+    // When a request for grants fails, the waiting requests are admitted from the even share in this turn of the event loop.
+    // The next report is sent after that turn, so that it includes them.
+    let isFailing = false;
+    let sendDeferred: (() => void) | undefined;
+    const failRequest = (failed: GrantRequest) => {
+      isFailing = true;
+      failed.resolve(false);
       setImmediate(() => {
-        isSettling = false;
-        put?.();
-        put = undefined;
+        isFailing = false;
+        sendDeferred?.();
+        sendDeferred = undefined;
       });
     };
-    const onLate = (late: Question) => {
-      if (!late.isNoted) {
-        isDue ||= isKnown;
-        isKnown = false;
+    const onTimeout = (late: GrantRequest) => {
+      if (!late.isAcknowledged) {
+        isReportDue ||= isRegistered;
+        isRegistered = false;
       }
-      fail(late);
+      failRequest(late);
     };
-    const useOf = ([team, account]: readonly [string, Account]): Frame.Use => ({
+    const toWire = ([team, account]: readonly [string, Account]): Frame.Use => ({
       team,
-      used: account.ledger.total(),
-      holds: holdsOf(account),
-      wanted: Instant.since(account.chargedAt) < grantFor ? account.lately : UsageWindow.zero,
+      used: account.window.total(),
+      holds: unspentGrantOf(account),
+      wanted: Instant.since(account.lastChargedAt) < grantLifetimeMs ? account.recent : UsageWindow.zero,
       must: [...account.waiting].reduce(UsageWindow.sum, UsageWindow.zero),
-      proxies: most.within(account.span + grantFor),
+      proxies: proxyCount.within(account.span + grantLifetimeMs),
     });
-    const tell = (made: Question) => {
-      const whole = isDue && !isKnown;
+    const sendReport = (request: GrantRequest) => {
+      const whole = isReportDue && !isRegistered;
       const told = [...accounts].filter(
-        ([, account]) => account.waiting.size > 0 || (isDue && isToTell(account)),
+        ([, account]) => account.waiting.size > 0 || (isReportDue && needsReport(account)),
       );
-      isDue = false;
-      made.told = new Map(
+      isReportDue = false;
+      request.teams = new Map(
         told.map(([team, account]) => [
           team,
-          { spoken: spokenOf(account), isWaiting: account.waiting.size > 0 },
+          { reported: reportedUsageOf(account), isWaiting: account.waiting.size > 0 },
         ]),
       );
-      const uses = told.map(useOf);
-      for (const [, account] of told) account.lately = UsageWindow.zero;
-      if (needs.send(made.serial, uses, { life: isKnown || whole, whole })) return;
-      isKnown = false;
-      fail(made);
+      const uses = told.map(toWire);
+      for (const [, account] of told) account.recent = UsageWindow.zero;
+      if (dependencies.send(request.serial, uses, { life: isRegistered || whole, whole })) return;
+      isRegistered = false;
+      failRequest(request);
     };
-    const question = (): Question => {
-      if (open) return open;
+    const requestGrants = (): GrantRequest => {
+      if (pending) return pending;
       serial += 1;
-      const made = ask(serial, onLate);
-      open = made;
-      void made.answered.then(() => {
-        made.stopWaiting();
-        if (open === made) open = undefined;
-        if (isDue) question();
+      const request = openRequest(serial, onTimeout);
+      pending = request;
+      void request.answered.then(() => {
+        request.cancelTimeout();
+        if (pending === request) pending = undefined;
+        if (isReportDue) requestGrants();
       });
-      if (isSettling) put = () => tell(made);
-      else tell(made);
-      return made;
+      if (isFailing) sendDeferred = () => sendReport(request);
+      else sendReport(request);
+      return request;
     };
-    const charge = (account: Account, work: UsageWindow.Usage): QuotaLimiter.Verdict => {
-      account.lately = UsageWindow.sum(account.lately, work);
-      account.isSteady = Instant.since(account.chargedAt) < grantFor;
-      account.chargedAt = Instant.now();
-      return { kind: 'in', refund: account.ledger.add(work) };
+    const charge = (account: Account, usage: UsageWindow.Usage): QuotaLimiter.Verdict => {
+      account.recent = UsageWindow.sum(account.recent, usage);
+      account.isSteady = Instant.since(account.lastChargedAt) < grantLifetimeMs;
+      account.lastChargedAt = Instant.now();
+      return { kind: 'in', refund: account.window.add(usage) };
     };
-    const spend = (account: Account, work: UsageWindow.Usage): QuotaLimiter.Verdict | undefined => {
-      const { requests, prompt } = holdsOf(account);
-      if (requests < work.requests || prompt < work.prompt) return undefined;
-      account.holds = { requests: requests - work.requests, prompt: prompt - work.prompt };
-      return charge(account, work);
+    const spendGrant = (account: Account, usage: UsageWindow.Usage): QuotaLimiter.Verdict | undefined => {
+      const { requests, prompt } = unspentGrantOf(account);
+      if (requests < usage.requests || prompt < usage.prompt) return undefined;
+      account.grant = { requests: requests - usage.requests, prompt: prompt - usage.prompt };
+      return charge(account, usage);
     };
-    const spendAlone = (account: Account, quota: Document.Quota, work: UsageWindow.Usage) => {
-      const used = UsageWindow.sum(account.ledger.total(), work);
-      most.record(needs.proxies());
-      const part = 1 / most.allTime();
+    const spendEvenShare = (account: Account, quota: Document.Quota, usage: UsageWindow.Usage) => {
+      const used = UsageWindow.sum(account.window.total(), usage);
+      proxyCount.record(dependencies.proxies());
+      const part = 1 / proxyCount.allTime();
       const isWithin =
         used.requests <= (quota.requests ?? Number.POSITIVE_INFINITY) * part &&
         used.prompt <= (quota.prompt ?? Number.POSITIVE_INFINITY) * part;
-      return isWithin ? charge(account, work) : undefined;
+      return isWithin ? charge(account, usage) : undefined;
     };
     return {
       async admit({ name, quota }, prompt) {
         if (!quota) return { kind: 'in', refund: () => {} };
-        const work = { requests: 1, prompt };
+        const usage = { requests: 1, prompt };
         const account = accountOf(name, quota);
-        const asked = Instant.now();
+        const askedAt = Instant.now();
         let isAnswered = true;
         const mayAsk = (round: number) =>
-          (round < 2 && isAnswered) || (!isAnswered && isYoung() && Instant.since(asked) < waitWhileYoung);
-        account.waiting.add(work);
+          (round < 2 && isAnswered) ||
+          (!isAnswered && isStartingUp() && Instant.since(askedAt) < maxStartupWaitMs);
+        account.waiting.add(usage);
         try {
           for (let round = 0; mayAsk(round); round += 1) {
-            const spent = spend(account, work);
+            const spent = spendGrant(account, usage);
             if (spent) return spent;
-            isAnswered = await question().answered;
+            isAnswered = await requestGrants().answered;
           }
         } finally {
-          account.waiting.delete(work);
+          account.waiting.delete(usage);
         }
-        const isAlone = !isAnswered && !isYoung();
-        const last = spend(account, work) ?? (isAlone ? spendAlone(account, quota, work) : undefined);
+        const isAlone = !isAnswered && !isStartingUp();
+        const last =
+          spendGrant(account, usage) ?? (isAlone ? spendEvenShare(account, quota, usage) : undefined);
         return (
           last ?? {
             kind: 'over',
-            retryAfter: Math.min(quota.span, Math.max(1000, account.ledger.nextExpiryIn())),
+            retryAfter: Math.min(quota.span, Math.max(1000, account.window.nextExpiryIn())),
           }
         );
       },
       applyGrants(from, answered, grants, { life = false, whole = false, listening = false } = {}) {
-        if (from < epoch || open?.serial !== answered) return;
+        if (from < epoch || pending?.serial !== answered) return;
         epoch = from;
-        isKnown = life;
-        open.isNoted = true;
-        for (const [team, { spoken, isWaiting }] of open.told) {
+        isRegistered = life;
+        pending.isAcknowledged = true;
+        for (const [team, { reported, isWaiting }] of pending.teams) {
           const account = accounts.get(team);
-          if (account) account.believed = listening && !isWaiting ? spoken : undefined;
+          if (account) account.acknowledged = listening && !isWaiting ? reported : undefined;
         }
-        isDue ||= whole;
+        isReportDue ||= whole;
         if (listening) {
-          const { settle, stopWaiting } = open;
+          const { resolve, cancelTimeout } = pending;
           if (!whole) return;
-          stopWaiting();
-          open = undefined;
-          void question().answered.then(settle);
+          cancelTimeout();
+          pending = undefined;
+          void requestGrants().answered.then(resolve);
           return;
         }
         for (const { team, requests, prompt } of grants) {
           const account = accounts.get(team);
           if (!account) continue;
-          account.holds = UsageWindow.sum(holdsOf(account), { requests, prompt });
-          account.until = Instant.after(grantFor, open.at);
-          const told = open.told.get(team);
-          account.believed = told && UsageWindow.sum(told.spoken, { requests, prompt });
+          account.grant = UsageWindow.sum(unspentGrantOf(account), { requests, prompt });
+          account.grantExpiresAt = Instant.after(grantLifetimeMs, pending.at);
+          const told = pending.teams.get(team);
+          account.acknowledged = told && UsageWindow.sum(told.reported, { requests, prompt });
         }
-        open.settle(true);
+        pending.resolve(true);
       },
       reportAll() {
-        isKnown = false;
-        isDue = true;
-        question();
+        isRegistered = false;
+        isReportDue = true;
+        requestGrants();
       },
       maintain() {
-        most.record(needs.proxies());
+        proxyCount.record(dependencies.proxies());
         for (const [team, account] of accounts) {
-          const isTold = !isKnown || isEqual(UsageWindow.zero, account.believed);
-          if (Instant.since(account.touched) > 2 * account.span && isTold) accounts.delete(team);
+          const isReported = !isRegistered || isEqual(UsageWindow.zero, account.acknowledged);
+          if (Instant.since(account.lastUsedAt) > 2 * account.span && isReported) accounts.delete(team);
         }
         if (accounts.size === 0) return;
-        isDue = true;
-        question();
+        isReportDue = true;
+        requestGrants();
       },
     };
   },
