--- a/src/duty/list-duty.ts
+++ b/src/duty/list-duty.ts
@@ -46,10 +46,8 @@
   const known = new Map(before.servers.map((one) => [one.instance, one]));
   const elapsed = Instant.since(before.at);
   return after.some((one) => {
-    const previous = known.get(one.instance);
-    return (
-      !previous || withoutWarming(previous) !== withoutWarming(one) || isWarmupChanged(previous, one, elapsed)
-    );
+    const old = known.get(one.instance);
+    return !old || withoutWarming(old) !== withoutWarming(one) || isWarmupChanged(old, one, elapsed);
   });
 };
 
--- a/test/crowd.test.ts
+++ b/test/crowd.test.ts
@@ -1,5 +1,7 @@
-// Cold and crowded: a server that comes back is fed gently by all proxies together, crowds beyond what
-// servers take are dropped early as not run, evenly between teams, and lookups go on beside them.
+/**
+ * Overload and cold servers: all proxies together ramp up a new server gradually, requests beyond the capacity of the servers
+ * are refused early as not run, evenly between teams, and lookups are served meanwhile.
+ */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import type { Document } from '../src/manifest/document.js';
@@ -20,7 +22,7 @@
   homes: { ab: { regions: ['a'] }, c: { regions: ['a'] } },
 } as unknown as Document;
 
-describe('cold and crowded', () => {
+describe('overload and cold servers', () => {
   let bench: Bench;
   let old: Bench.BackEnd;
   let plain: Bench.BackEnd;
@@ -29,7 +31,7 @@
     Bench.sse(response, ['one'], false);
     held.push(() => response.end('data: [DONE]\n\n'));
   };
-  const letGo = () => {
+  const endHeldResponses = () => {
     for (const end of held.splice(0)) end();
   };
 
@@ -45,42 +47,42 @@
     await bench.list([old, plain]);
   });
   after(async () => {
-    letGo();
+    endHeldResponses();
     await bench.stop();
   });
 
   const callAt = (front: number, more: object = {}, headers: Record<string, string> = {}) =>
     Bench.call(bench.kit.fronts[front % 3]!.listen, chat, { model: 'once', messages: [], ...more }, headers);
-  const reaches = async (server: Bench.BackEnd, count: number) => {
+  const untilReached = async (server: Bench.BackEnd, count: number) => {
     while (server.reached.length < count) await new Promise((resolve) => setImmediate(resolve));
   };
 
-  it('drops a crowd early as not run, and serves lookups beside it', async () => {
+  it('refuses a burst early as not run, and serves lookups meanwhile', async () => {
     const began = performance.now();
-    const flood = Array.from({ length: 20 }, () => callAt(0));
-    await reaches(old, 6);
+    const burst = Array.from({ length: 20 }, () => callAt(0));
+    await untilReached(old, 6);
     const lookup = await bench.call('/stock/insulin');
     assert.equal(lookup.status, 200);
     const other = callAt(0, {}, { authorization: 'Bearer another-key' });
-    await reaches(old, 7);
-    letGo();
-    const answers = await Promise.all(flood);
+    await untilReached(old, 7);
+    endHeldResponses();
+    const answers = await Promise.all(burst);
     const took = performance.now() - began;
     assert.equal((await Promise.race([other, bench.call('/stock/insulin')])).status, 200);
     const served = answers.filter((one) => one.status === 200).length;
     const dropped = answers.filter((one) => one.status === 503);
-    assert.equal(served, 6, 'a team alone fills its servers to three quarters');
+    assert.equal(served, 6, 'a single team fills its servers to three quarters');
     assert.equal(served + dropped.length, 20);
     for (const one of dropped) {
       assert.equal(one.headers['bramblebend-ran'], 'no');
       assert.ok(one.headers['retry-after']);
     }
-    assert.ok(took < 9000, 'nobody waited for the deadline');
-    letGo();
+    assert.ok(took < 9000, 'no request waited for its deadline');
+    endHeldResponses();
     await other;
   });
 
-  it('ejects a server after failures in a row, and never more than the share of its group', async () => {
+  it('ejects a server after consecutive failures, and never more than the allowed share of a group', async () => {
     const fail: Bench.Handle = (_request, response) => void response.writeHead(500).end('{}');
     const bad = await bench.backEnd({ instance: 'e1', group: 'llm', region: 'a', handle: fail });
     const good = await bench.backEnd({
@@ -103,7 +105,7 @@
     await bench.list([old, plain]);
   });
 
-  it('feeds a new server gently over all proxies together, then fully', async () => {
+  it('ramps up a new server over all proxies together, then uses it fully', async () => {
     old.handle = (_request, response) => Bench.sse(response, ['one']);
     const fresh = await bench.backEnd({ instance: 'a2', group: 'llm', region: 'a', handle: hold });
     const began = performance.now();
@@ -116,8 +118,8 @@
     while (completed < 26 && fresh.reached.length < 5) await new Promise((resolve) => setImmediate(resolve));
     const limit = 2 * 2 ** Math.floor((performance.now() - began) / 1500);
     const reached = fresh.reached.length;
-    assert.ok(reached <= limit, `${reached} at once at a server just listed, where ${limit} may be`);
-    letGo();
+    assert.ok(reached <= limit, `${reached} at once at a server just listed, limit ${limit}`);
+    endHeldResponses();
     await Promise.all(first);
     const metrics = await (await fetch(`http://${bench.kit.fronts[0]!.ops}/log`)).text();
     assert.match(metrics, /fed gently/);
--- a/test/first-manifest.test.ts
+++ b/test/first-manifest.test.ts
@@ -1,5 +1,6 @@
-// Requests at a proxy that has just started: they wait for its first manifest a moment, within bounds, and are
-// refused at once after its first moments.
+/**
+ * Requests at a proxy that has just started wait a limited time for its first manifest, and are refused at once later.
+ */
 import assert from 'node:assert/strict';
 import { after, afterEach, before, beforeEach, describe, it, mock } from 'node:test';
 import { setTimeout as pause } from 'node:timers/promises';
@@ -10,12 +11,12 @@
 import { ManualClock } from './manual-clock.js';
 import { RequestKit } from './request-kit.js';
 
-const turns = async () => {
+const eventLoopTurns = async () => {
   for (let count = 0; count < 5; count += 1) await new Promise<void>((resolve) => setImmediate(resolve));
 };
 
 describe('the first manifest', () => {
-  it('lets those who wait go on in the moment it comes', async () => {
+  it('releases waiting requests when it arrives', async () => {
     const first = FirstManifest.of();
     const waiting = [first.wait(undefined), first.wait(10_000)];
     first.markArrived();
@@ -23,20 +24,20 @@
     await first.wait(10_000);
   });
 
-  it('is waited for by a crowd without a warning', async () => {
+  it('can be waited for by many requests without a warning', async () => {
     const warnings: Error[] = [];
     const see = (warning: Error) => warnings.push(warning);
     process.on('warning', see);
     const first = FirstManifest.of();
-    const crowd = Array.from({ length: 100 }, () => first.wait(10_000));
-    await turns();
+    const waiters = Array.from({ length: 100 }, () => first.wait(10_000));
+    await eventLoopTurns();
     first.markArrived();
-    await Promise.all(crowd);
+    await Promise.all(waiters);
     process.off('warning', see);
     assert.deepEqual(warnings, []);
   });
 
-  it('is waited for a quarter of the time left at most', async () => {
+  it('is waited for at most a quarter of the remaining time', async () => {
     mock.timers.enable({ apis: ['setTimeout'] });
     try {
       const first = FirstManifest.of();
@@ -45,17 +46,17 @@
         isOver = true;
       });
       mock.timers.tick(200);
-      await turns();
+      await eventLoopTurns();
       assert.equal(isOver, false);
       mock.timers.tick(50);
-      await turns();
+      await eventLoopTurns();
       assert.equal(isOver, true);
       let isLongOver = false;
       void first.wait(60_000).then(() => {
         isLongOver = true;
       });
       mock.timers.tick(800);
-      await turns();
+      await eventLoopTurns();
       assert.equal(isLongOver, true);
     } finally {
       mock.timers.reset();
@@ -63,7 +64,7 @@
   });
 });
 
-/** A callers' port that gets its manifest when the test says so, on a clock that stands still. */
+/** A proxy server that gets its manifest when the test delivers it, on a manual clock. */
 const startEmpty = async () => {
   let isInForce = false;
   const firstManifest = FirstManifest.of();
@@ -79,14 +80,14 @@
   return {
     lab,
     server,
-    bring() {
+    deliver() {
       isInForce = true;
       firstManifest.markArrived();
     },
   };
 };
 
-describe('a request that came before the first manifest', () => {
+describe('a request that arrived before the first manifest', () => {
   let clock: ManualClock;
   beforeEach(() => {
     mock.timers.enable({ apis: ['setTimeout'] });
@@ -98,18 +99,18 @@
     await RequestKit.end();
   });
   const isTaken = async (lab: Lab) => {
-    while (lab.active() === 0) await turns();
+    while (lab.active() === 0) await eventLoopTurns();
   };
 
-  it('is served once the manifest is there', async () => {
-    const { lab, server, bring } = await startEmpty();
+  it('is served once the manifest has arrived', async () => {
+    const { lab, server, deliver } = await startEmpty();
     const asked = RequestKit.ask(lab, RequestKit.request('/safe/a'));
     await isTaken(lab);
     assert.equal(server.arrivals.length, 0);
-    bring();
+    deliver();
     assert.deepEqual([(await asked).status, (await asked).body], [200, 'served']);
   });
-  it('is refused at the end of its wait, and told when to come back', async () => {
+  it('is refused at the end of its wait, with Retry-After', async () => {
     const { lab, server } = await startEmpty();
     const asked = RequestKit.ask(lab, RequestKit.request('/safe/a'));
     await isTaken(lab);
@@ -121,7 +122,7 @@
   });
 });
 
-describe('a front machine that lost all it held', () => {
+describe('a front machine that lost its state', () => {
   let bench: Bench;
 
   before(async () => {
@@ -132,13 +133,13 @@
   });
   after(() => bench.stop());
 
-  it('serves again who comes back as told, and refuses a request soon where no manifest comes', async () => {
+  it('serves retried requests once the agent is back, and refuses requests soon if no manifest arrives', async () => {
     const [front] = bench.kit.fronts as [Bench['kit']['fronts'][number]];
     const ask = () => Bench.call(front.listen, '/v1/chat/completions', { model: 'again', messages: [] }, {});
     const end = () => Promise.all([front.agent?.end('SIGKILL'), front.proxy?.end('SIGKILL')]);
     await end();
     await bench.kit.startProxy(front);
-    // When the agent's word comes is the machine's affair; until then each answer says when to come back.
+    // How long the agent takes depends on the machine; until then, each response has Retry-After.
     const agentIsUp = bench.kit.startAgent(front);
     for (let answer = await ask(); answer.status !== 200; answer = await ask()) {
       assert.equal(answer.status, 503);
--- a/test/lookout.test.ts
+++ b/test/lookout.test.ts
@@ -1,5 +1,7 @@
-// While no core leads, a core that is left looks at the platform's list itself and tells the fronts which servers
-// are to get nothing more, and nothing else: what is new waits for a primary.
+/**
+ * While there is no primary, a remaining core polls the platform's list by itself and announces to the proxies which servers
+ * should get no new requests, and nothing else: new servers are not used until there is a primary.
+ */
 import assert from 'node:assert/strict';
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -27,15 +29,15 @@
   limits: {},
 };
 
-describe('a list that nobody leads', () => {
+describe('the server list without a primary', () => {
   let kit: PlatformKit;
   const servers: Server[] = [];
   let serial = 0;
 
   const serverOf = async (instance: string): Promise<string> => {
     const server = createServer((incoming, response) => {
-      const isMeant = incoming.headers['target-instance'] === instance;
-      response.writeHead(isMeant ? 200 : 421, { 'attempt-id': incoming.headers['attempt-id'] ?? '' });
+      const isAddressed = incoming.headers['target-instance'] === instance;
+      response.writeHead(isAddressed ? 200 : 421, { 'attempt-id': incoming.headers['attempt-id'] ?? '' });
       response.end(instance);
     });
     servers.push(server);
@@ -50,15 +52,15 @@
     const text = await answer.body.text();
     return answer.statusCode === 200 ? text : String(answer.statusCode);
   };
-  const answers = async (count: number): Promise<readonly string[]> => {
+  const distinctAnswers = async (count: number): Promise<readonly string[]> => {
     const all: string[] = [];
     for (let done = 0; done < count; done += 1)
       all.push(...(await Promise.all(kit.fronts.map((front) => callAt(front).catch(() => 'none')))));
     return [...new Set(all)].sort();
   };
-  const untilAnswers = (wanted: readonly string[]) =>
+  const waitForAnswers = (wanted: readonly string[]) =>
     PlatformKit.until(
-      async () => ((await answers(15)).join() === wanted.join() ? true : undefined),
+      async () => ((await distinctAnswers(15)).join() === wanted.join() ? true : undefined),
       `answers by ${wanted.join()}`,
     );
   const available = new Map<string, string>();
@@ -73,7 +75,7 @@
       'base-revision': '0',
     });
     assert.equal(put.status, 200);
-    await untilAnswers(['i-1', 'i-2']);
+    await waitForAnswers(['i-1', 'i-2']);
   });
   after(async () => {
     await kit.stop();
@@ -83,37 +85,37 @@
     }
   });
 
-  it('is looked at by a core alone, and a server that leaves gets nothing more', {
+  it('is polled by a single core, and a leaving server gets no more requests', {
     timeout: 40_000,
   }, async () => {
     const primary = await kit.primary();
-    const [other, left] = kit.cores.filter((core) => core !== primary);
+    const [other, remaining] = kit.cores.filter((core) => core !== primary);
     await Promise.all([primary, other!].map((core) => core.process?.end('SIGKILL')));
     kit.list.instances = [listed('i-1', { state: 'draining' }), listed('i-2')];
-    await untilAnswers(['i-2']);
-    const health = await kit.call(left!, 'GET', '/health');
+    await waitForAnswers(['i-2']);
+    const health = await kit.call(remaining!, 'GET', '/health');
     assert.equal(health.body.state, 'following');
   });
 
-  it('is asked no more often than the part of one core among three', { timeout: 40_000 }, async () => {
+  it('is polled no more often than the share of one core among three', { timeout: 40_000 }, async () => {
     await kit.list.polls(1);
     const began = performance.now();
     await kit.list.polls(2);
     assert.ok(performance.now() - began > 2 * 3 * 700 * 0.95);
   });
 
-  it('takes one away that is gone, and shows none that is new', { timeout: 40_000 }, async () => {
+  it('removes a server that is gone, and adds none that is new', { timeout: 40_000 }, async () => {
     kit.list.instances = [listed('i-3')];
-    await untilAnswers(['503']);
+    await waitForAnswers(['503']);
     await kit.list.polls(2);
-    assert.deepEqual(await answers(15), ['503']);
+    assert.deepEqual(await distinctAnswers(15), ['503']);
   });
 
-  it('is what counts again once a primary took it', { timeout: 40_000 }, async () => {
+  it('takes effect again once there is a primary', { timeout: 40_000 }, async () => {
     kit.list.instances = [listed('i-1'), listed('i-3')];
     await Promise.all(
       kit.cores.filter((core) => core.process?.isUp() !== true).map((core) => kit.startCore(core)),
     );
-    await untilAnswers(['i-1', 'i-3']);
+    await waitForAnswers(['i-1', 'i-3']);
   });
 });
--- a/test/quota-changes.test.ts
+++ b/test/quota-changes.test.ts
@@ -1,5 +1,7 @@
-// What a proxy tells the quota duty and what the duty makes of it: all teams once, then what changed, while a word a
-// second speaks for the others; and all again to a new holder, to one that does not answer, and to an earlier one.
+/**
+ * Reports between proxies and the quota duty: all teams once, then only changes, while messages twice a second renew the
+ * other entries; and a full report again to a new holder, to one that does not respond, and to one of an earlier version.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { Id } from '../src/common/id.js';
@@ -11,31 +13,31 @@
 const quota = { span: 60_000, requests: 100 };
 const teams = 30;
 const nameOf = (index: number) => `team-${index}` as Id.Team;
-const listening = 1200;
-const silentAfter = 3000;
-const tendEvery = 500;
+const collectMs = 1200;
+const silentAfterMs = 3000;
+const maintenanceMs = 500;
 
-const turn = () => new Promise<void>((resolve) => setImmediate(resolve));
-const lasting = async (span: number, work: () => void) => {
-  for (const began = Instant.now(); Instant.since(began) < span; await turn()) work();
+const nextTurn = () => new Promise<void>((resolve) => setImmediate(resolve));
+const repeatFor = async (span: number, work: () => void) => {
+  for (const began = Instant.now(); Instant.since(began) < span; await nextTurn()) work();
 };
 const everyHalfSecond = async (span: number, work: () => void) => {
-  let next = Instant.after(tendEvery);
-  await lasting(span, () => {
+  let next = Instant.after(maintenanceMs);
+  await repeatFor(span, () => {
     if (!Instant.isPast(next)) return;
-    next = Instant.after(tendEvery, next);
+    next = Instant.after(maintenanceMs, next);
     work();
   });
 };
 
-const lay = (count: number) => {
+const setUpDuty = (count: number) => {
   const names = Array.from({ length: count }, (_none, index) => String.fromCharCode(97 + index));
   const duty = QuotaDuty.of({ quotaOf: () => quota, roster: () => names, requestReport: () => {} });
   let epoch = 1;
   let isUp = true;
-  let isEarlier = false;
-  const asked: QuotaDuty.Tokens[] = [];
-  const answered: QuotaDuty.Tokens[] = [];
+  let isEarlierVersion = false;
+  const reports: QuotaDuty.Tokens[] = [];
+  const responses: QuotaDuty.Tokens[] = [];
   const proxyOf = (node: string): QuotaLimiter => {
     const quotas: QuotaLimiter = QuotaLimiter.of({
       proxies: () => count,
@@ -50,11 +52,11 @@
           uses,
           grants: [],
         } as const;
-        const told = isEarlier ? frame : { ...frame, life, whole };
-        asked.push(told);
+        const report = isEarlierVersion ? frame : { ...frame, life, whole };
+        reports.push(report);
         if (!isUp) return true;
-        const response = duty.receive(told, epoch);
-        if (response) answered.push(response);
+        const response = duty.receive(report, epoch);
+        if (response) responses.push(response);
         if (response)
           setImmediate(() => quotas.applyGrants(response.epoch, response.serial, response.grants, response));
         return true;
@@ -65,140 +67,140 @@
   const admit = (quotas: QuotaLimiter, index: number) =>
     quotas.admit({ name: nameOf(index), home: undefined, homes: undefined, quota }, 100);
   const used = (index: number) => duty.usage()[nameOf(index)]?.used.requests ?? 0;
-  // Grants given ahead end after two seconds, and what was held of them is told.
-  const settled = (...proxies: readonly QuotaLimiter[]) =>
-    lasting(QuotaDuty.grantLifetimeMs + 300, () => {
+  // Unspent grants expire after two seconds, and their expiry is reported.
+  const settle = (...proxies: readonly QuotaLimiter[]) =>
+    repeatFor(QuotaDuty.grantLifetimeMs + 300, () => {
       for (const proxy of proxies) proxy.maintain();
     });
-  const listen = async () => {
+  const collectReports = async () => {
     duty.observeEpoch(epoch);
-    await lasting(listening, () => {});
+    await repeatFor(collectMs, () => {});
   };
   return {
-    asked,
-    answered,
+    reports,
+    responses,
     proxyOf,
     admit,
     used,
-    settled,
-    listen,
+    settle,
+    collectReports,
     moveHolder() {
       epoch += 1;
     },
     setUp(next: boolean) {
       isUp = next;
     },
-    setEarlier() {
-      isEarlier = true;
+    setEarlierVersion() {
+      isEarlierVersion = true;
     },
   };
 };
 
-describe('changes told to the quota duty', () => {
-  it('tells all teams once and then only those that changed', async () => {
-    const { asked, proxyOf, admit, used, settled, listen } = lay(4);
-    await listen();
+describe('reports to the quota duty', () => {
+  it('cover all teams once and then only those that changed', async () => {
+    const { reports, proxyOf, admit, used, settle, collectReports } = setUpDuty(4);
+    await collectReports();
     const proxy = proxyOf('a');
     for (let index = 0; index < teams; index += 1) assert.equal((await admit(proxy, index)).kind, 'in');
-    await settled(proxy);
-    const wholes = asked.filter(({ whole }) => whole);
+    await settle(proxy);
+    const fullReports = reports.filter(({ whole }) => whole);
     assert.deepEqual(
-      wholes.map(({ uses }) => uses.length),
+      fullReports.map(({ uses }) => uses.length),
       [teams],
     );
-    const before = asked.length;
+    const before = reports.length;
     const verdict = await admit(proxy, 7);
-    await settled(proxy);
-    const told = asked.slice(before).flatMap(({ uses }) => uses.map(({ team }) => team));
-    assert.deepEqual([...new Set(told)], [nameOf(7)]);
+    await settle(proxy);
+    const reportedTeams = reports.slice(before).flatMap(({ uses }) => uses.map(({ team }) => team));
+    assert.deepEqual([...new Set(reportedTeams)], [nameOf(7)]);
     assert.equal(used(7), 2);
     assert.ok(verdict.kind === 'in');
     verdict.refund();
-    await settled(proxy);
+    await settle(proxy);
     assert.equal(used(7), 1);
   });
-  it('takes any word of a proxy as a sign of life for all its teams, and counts a silent one by its even part', async () => {
-    const { asked, proxyOf, admit, used, settled, listen } = lay(4);
-    await listen();
+  it('renew all teams of a proxy with any message, and count a silent proxy with its even share', async () => {
+    const { reports, proxyOf, admit, used, settle, collectReports } = setUpDuty(4);
+    await collectReports();
     const [alive, silent] = [proxyOf('alive'), proxyOf('silent')];
     assert.equal((await admit(alive, 0)).kind, 'in');
     assert.equal((await admit(silent, 1)).kind, 'in');
-    await settled(alive, silent);
-    const before = asked.length;
-    await everyHalfSecond(silentAfter + 500, alive.maintain);
-    const told = asked.slice(before);
+    await settle(alive, silent);
+    const before = reports.length;
+    await everyHalfSecond(silentAfterMs + 500, alive.maintain);
+    const laterReports = reports.slice(before);
     assert.equal(
-      told.reduce((sum, { uses }) => sum + uses.length, 0),
+      laterReports.reduce((sum, { uses }) => sum + uses.length, 0),
       0,
     );
     assert.equal(used(0), 1);
     assert.equal(used(1), quota.requests / 4);
   });
-  it('tells all again to a new holder, and to one that did not answer', async () => {
-    const { asked, proxyOf, admit, used, settled, listen, moveHolder, setUp } = lay(4);
-    await listen();
+  it('cover all teams again for a new holder, and for one that did not respond', async () => {
+    const { reports, proxyOf, admit, used, settle, collectReports, moveHolder, setUp } = setUpDuty(4);
+    await collectReports();
     const proxy = proxyOf('a');
     for (let index = 0; index < teams; index += 1) await admit(proxy, index);
-    await settled(proxy);
+    await settle(proxy);
     moveHolder();
-    const before = asked.length;
-    await everyHalfSecond(listening, proxy.maintain);
-    const wholes = asked.slice(before).filter(({ whole }) => whole);
+    const before = reports.length;
+    await everyHalfSecond(collectMs, proxy.maintain);
+    const fullReports = reports.slice(before).filter(({ whole }) => whole);
     assert.deepEqual(
-      wholes.map(({ uses }) => uses.length),
+      fullReports.map(({ uses }) => uses.length),
       [teams],
     );
     for (let index = 0; index < teams; index += 1) assert.equal(used(index), 1);
-    await settled(proxy);
-    assert.equal(asked.slice(before).filter(({ whole }) => whole).length, 1);
+    await settle(proxy);
+    assert.equal(reports.slice(before).filter(({ whole }) => whole).length, 1);
     setUp(false);
     proxy.maintain();
-    await lasting(600, () => {});
-    assert.deepEqual([asked.at(-1)?.whole, asked.at(-1)?.uses.length], [true, teams]);
+    await repeatFor(600, () => {});
+    assert.deepEqual([reports.at(-1)?.whole, reports.at(-1)?.uses.length], [true, teams]);
     setUp(true);
-    const later = asked.length;
+    const later = reports.length;
     proxy.maintain();
-    await lasting(500, () => {});
+    await repeatFor(500, () => {});
     assert.deepEqual(
-      asked.slice(later).map(({ whole, uses }) => [whole, uses.length]),
+      reports.slice(later).map(({ whole, uses }) => [whole, uses.length]),
       [[true, teams]],
     );
   });
-  it('goes on telling all to a holder of an earlier program, which takes no word for others', async () => {
-    const { asked, answered, proxyOf, admit, listen, setEarlier } = lay(4);
-    setEarlier();
-    await listen();
+  it('always cover all teams for a holder of an earlier version, which renews no entries', async () => {
+    const { reports, responses, proxyOf, admit, collectReports, setEarlierVersion } = setUpDuty(4);
+    setEarlierVersion();
+    await collectReports();
     const proxy = proxyOf('a');
     for (let index = 0; index < teams; index += 1) await admit(proxy, index);
     for (let round = 0; round < 3; round += 1) {
-      const before = asked.length;
+      const before = reports.length;
       proxy.maintain();
-      await turn();
-      await turn();
+      await nextTurn();
+      await nextTurn();
       assert.deepEqual(
-        asked.slice(before).map(({ uses }) => uses.length),
+        reports.slice(before).map(({ uses }) => uses.length),
         [teams],
       );
     }
-    assert.ok(answered.every(({ life }) => !life));
+    assert.ok(responses.every(({ life }) => !life));
   });
-  it('still counts what the last run of a proxy used, whatever its next run tells', async () => {
-    const { proxyOf, admit, used, settled, listen } = lay(4);
-    await listen();
+  it('leave the usage of a proxy before its restart counted, whatever it reports afterwards', async () => {
+    const { proxyOf, admit, used, settle, collectReports } = setUpDuty(4);
+    await collectReports();
     const first = proxyOf('a');
     for (let count = 0; count < 10; count += 1) await admit(first, 0);
-    await settled(first);
+    await settle(first);
     assert.equal(used(0), 10);
     const second = proxyOf('a');
     await admit(second, 1);
-    await settled(second);
+    await settle(second);
     assert.equal(used(0), 10);
-    await lasting(silentAfter + 200, second.maintain);
+    await repeatFor(silentAfterMs + 200, second.maintain);
     assert.equal(used(0), quota.requests / 4);
   });
-  it('lets in the whole quota over all proxies in any order, and no more', async () => {
-    const { proxyOf, admit, settled, listen } = lay(5);
-    await listen();
+  it('let all proxies together admit the whole quota in any order, and no more', async () => {
+    const { proxyOf, admit, settle, collectReports } = setUpDuty(5);
+    await collectReports();
     const random = Random.of(7);
     const proxies = ['a', 'b', 'c', 'd', 'e'].map(proxyOf);
     let admitted = 0;
@@ -207,8 +209,8 @@
       if (random.below(3) === 0) proxy.maintain();
       if ((await admit(proxy, 0)).kind === 'in') admitted += 1;
     }
-    assert.ok(admitted <= quota.requests, `${admitted} were let in`);
-    await settled(...proxies);
+    assert.ok(admitted <= quota.requests, `${admitted} were admitted`);
+    await settle(...proxies);
     for (let round = 0; round < quota.requests; round += 1)
       if ((await admit(random.pick(proxies), 0)).kind === 'in') admitted += 1;
     assert.equal(admitted, quota.requests);
--- a/test/quota-holder.test.ts
+++ b/test/quota-holder.test.ts
@@ -1,5 +1,8 @@
-// A new holder of the quota duty, which has heard only some of the proxies while the others let in their even part
-// alone: it grants nothing beyond the even parts, until all were heard or the span is over, and asks those on its roster.
+/**
+ * A new holder of the quota duty that has heard only some of the proxies, while the others admit their even shares by
+ * themselves: it grants no more than even shares until all have reported or the span is over, and requests reports from the
+ * proxies on its roster.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { Id } from '../src/common/id.js';
@@ -10,18 +13,18 @@
 const requests = 30;
 const longSpan = 60_000;
 const shortSpan = 1000;
-const listening = 1200;
-const young = 5000;
-const tendEvery = 500;
+const collectMs = 1200;
+const startupMs = 5000;
+const maintenanceMs = 500;
 const names = ['a', 'b', 'c'] as const;
 type Name = (typeof names)[number];
 
-const turn = () => new Promise<void>((resolve) => setImmediate(resolve));
+const nextTurn = () => new Promise<void>((resolve) => setImmediate(resolve));
 
-const lay = (span = longSpan) => {
+const setUpDuty = (span = longSpan) => {
   const quota = { span, requests };
   const roster = new Set<string>(names);
-  const cutOff = new Set<string>();
+  const isolated = new Set<string>();
   const admitted = { a: 0, b: 0, c: 0 };
   const asked: string[] = [];
   let epoch = 1;
@@ -30,16 +33,16 @@
     roster: () => [...roster],
     requestReport(node) {
       asked.push(node);
-      if (!cutOff.has(node)) setImmediate(() => proxies[node as Name].reportAll());
+      if (!isolated.has(node)) setImmediate(() => proxies[node as Name].reportAll());
     },
   });
   const proxyOf = (node: Name): QuotaLimiter =>
     QuotaLimiter.of({
       proxies: () => names.length,
       send(serial, uses, { life, whole }) {
-        if (cutOff.has(node)) return false;
-        const told = { kind: 'tokens', node, epoch: 0, batches: [], wanted: 0, serial, uses, grants: [] };
-        const response = duty.receive({ ...told, kind: 'tokens', life, whole }, epoch);
+        if (isolated.has(node)) return false;
+        const report = { kind: 'tokens', node, epoch: 0, batches: [], wanted: 0, serial, uses, grants: [] };
+        const response = duty.receive({ ...report, kind: 'tokens', life, whole }, epoch);
         if (response)
           setImmediate(() =>
             proxies[node].applyGrants(response.epoch, response.serial, response.grants, response),
@@ -48,11 +51,11 @@
       },
     });
   const proxies: Record<Name, QuotaLimiter> = { a: proxyOf('a'), b: proxyOf('b'), c: proxyOf('c') };
-  const lasting = async (time: number) => {
+  const runFor = async (time: number) => {
     let next = Instant.now();
-    for (const began = Instant.now(); Instant.since(began) < time; await turn()) {
+    for (const began = Instant.now(); Instant.since(began) < time; await nextTurn()) {
       if (!Instant.isPast(next)) continue;
-      next = Instant.after(tendEvery, next);
+      next = Instant.after(maintenanceMs, next);
       for (const name of names) proxies[name].maintain();
     }
   };
@@ -65,70 +68,70 @@
       if (verdict.kind === 'in') admitted[node] += 1;
     }
   };
-  const sum = () => admitted.a + admitted.b + admitted.c;
-  const grown = async () => {
+  const totalAdmitted = () => admitted.a + admitted.b + admitted.c;
+  const finishStartup = async () => {
     duty.observeEpoch(epoch);
-    await lasting(young + 100);
+    await runFor(startupMs + 100);
   };
   const moveHolder = async (during: () => Promise<void> = async () => {}) => {
     epoch += 1;
     duty.observeEpoch(epoch);
-    await Promise.all([during(), lasting(listening + 100)]);
+    await Promise.all([during(), runFor(collectMs + 100)]);
   };
-  return { roster, cutOff, admitted, asked, admit, sum, grown, moveHolder, lasting };
+  return { roster, isolated, admitted, asked, admit, totalAdmitted, finishStartup, moveHolder, runFor };
 };
 
 describe('a new holder of the quota duty', () => {
-  it('grants only even parts while its roster misses a proxy that the others know', async () => {
-    const { roster, cutOff, admit, sum, grown, moveHolder, lasting } = lay();
-    await grown();
+  it('grants only even shares while its roster lacks a proxy that the others know', async () => {
+    const { roster, isolated, admit, totalAdmitted, finishStartup, moveHolder, runFor } = setUpDuty();
+    await finishStartup();
     for (const name of names) await admit(name, 4);
     roster.delete('c');
-    cutOff.add('c');
+    isolated.add('c');
     await moveHolder();
     await admit('a', requests);
     await admit('b', requests);
     await admit('c', requests);
-    assert.equal(sum(), requests);
-    cutOff.clear();
+    assert.equal(totalAdmitted(), requests);
+    isolated.clear();
     roster.add('c');
-    await lasting(tendEvery);
+    await runFor(maintenanceMs);
     for (const name of names) await admit(name, requests);
-    assert.equal(sum(), requests);
+    assert.equal(totalAdmitted(), requests);
   });
 
-  it('counts a proxy that told while it listened, and lets in alone since, by its even part', async () => {
-    const { cutOff, admit, sum, grown, moveHolder } = lay();
-    await grown();
+  it('counts a proxy that reported in the collection phase and was isolated afterwards with its even share', async () => {
+    const { isolated, admit, totalAdmitted, finishStartup, moveHolder } = setUpDuty();
+    await finishStartup();
     for (const name of names) await admit(name, 4);
     await moveHolder(async () => {
       for (const name of names) await admit(name, 1);
     });
-    cutOff.add('c');
+    isolated.add('c');
     await admit('a', requests);
     await admit('b', requests);
     await admit('c', requests);
-    assert.ok(sum() <= requests, `${sum()} of ${requests}`);
+    assert.ok(totalAdmitted() <= requests, `${totalAdmitted()} of ${requests}`);
   });
 
-  it('asks those on its roster that have nothing to tell, and then grants the whole quota to one', async () => {
-    const { asked, admit, admitted, grown, moveHolder, lasting } = lay();
-    await grown();
+  it('requests reports from idle proxies on its roster, and then grants the whole quota to one', async () => {
+    const { asked, admit, admitted, finishStartup, moveHolder, runFor } = setUpDuty();
+    await finishStartup();
     await moveHolder();
     await admit('a', requests);
-    await lasting(3 * tendEvery);
+    await runFor(3 * maintenanceMs);
     await admit('a', requests);
     assert.equal(admitted.a, requests);
     assert.ok(asked.includes('b') && asked.includes('c'));
   });
 
-  it('grants the whole quota once the span is over, whoever was not heard', async () => {
-    const { cutOff, admit, admitted, moveHolder, lasting } = lay(shortSpan);
-    cutOff.add('b').add('c');
+  it('grants the whole quota once the span is over, even if some proxies were not heard', async () => {
+    const { isolated, admit, admitted, moveHolder, runFor } = setUpDuty(shortSpan);
+    isolated.add('b').add('c');
     await moveHolder();
     await admit('a', requests);
     assert.ok(admitted.a <= requests / names.length);
-    await lasting(shortSpan + QuotaDuty.grantLifetimeMs + shortSpan);
+    await runFor(shortSpan + QuotaDuty.grantLifetimeMs + shortSpan);
     admitted.a = 0;
     await admit('a', requests);
     assert.equal(admitted.a, requests);
--- a/test/quota-questions.test.ts
+++ b/test/quota-questions.test.ts
@@ -1,5 +1,7 @@
-// What a proxy asks of the quota duty: requests of many teams that wait at once go into one question together, a
-// question for them tells of their teams alone, and twice a second all teams are told of.
+/**
+ * Requests for grants that a proxy sends to the quota duty: waiting requests of many teams share one request for grants,
+ * which reports only their teams, and all teams are reported twice a second.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { Id } from '../src/common/id.js';
@@ -10,20 +12,20 @@
 const teams = 8;
 const nameOf = (index: number) => `team-${index}` as Id.Team;
 const quota = { span: 60_000, requests: 1000 };
-const young = 5000;
+const startupMs = 5000;
 
-const turn = () => new Promise<void>((resolve) => setImmediate(resolve));
+const nextTurn = () => new Promise<void>((resolve) => setImmediate(resolve));
 
-const lay = (told: { readonly life?: boolean } = {}) => {
-  const asked: (readonly Frame.Use[])[] = [];
+const setUpLimiter = (flags: { readonly life?: boolean } = {}) => {
+  const sent: (readonly Frame.Use[])[] = [];
   let isUp = true;
   const quotas: QuotaLimiter = QuotaLimiter.of({
     proxies: () => 2,
     send(serial, uses) {
-      asked.push(uses);
+      sent.push(uses);
       if (!isUp) return true;
       const grants = uses.map(({ team, must }) => ({ team, ...must }));
-      setImmediate(() => quotas.applyGrants(1, serial, grants, told));
+      setImmediate(() => quotas.applyGrants(1, serial, grants, flags));
       return true;
     },
   });
@@ -32,50 +34,50 @@
   const setUp = (next: boolean) => {
     isUp = next;
   };
-  return { asked, quotas, admit, setUp };
+  return { sent, quotas, admit, setUp };
 };
 
-describe('questions about quotas', () => {
-  it('lets in requests of many teams that come at once, while their quotas last', async () => {
-    const { asked, admit } = lay();
+describe('requests for grants', () => {
+  it('admit concurrent requests of many teams within their quotas', async () => {
+    const { sent, admit } = setUpLimiter();
     const verdicts = await Promise.all(Array.from({ length: teams }, (_none, index) => admit(index)));
     assert.deepEqual(
       verdicts.map(({ kind }) => kind),
       Array.from({ length: teams }, () => 'in'),
     );
-    assert.equal(asked.length, 2);
+    assert.equal(sent.length, 2);
   });
-  it('asks for several requests of one team at once', async () => {
-    const { asked, admit } = lay();
+  it('cover several requests of one team together', async () => {
+    const { sent, admit } = setUpLimiter();
     const verdicts = await Promise.all([admit(0), admit(0), admit(0), admit(0)]);
     assert.ok(verdicts.every(({ kind }) => kind === 'in'));
-    assert.equal(asked.length, 2);
-    assert.equal(asked[1]?.[0]?.must.requests, 3);
+    assert.equal(sent.length, 2);
+    assert.equal(sent[1]?.[0]?.must.requests, 3);
   });
-  it('tells of waiting teams alone, and of all in turn, even while questions are open', async () => {
-    const { asked, quotas, admit } = lay();
+  it('report only waiting teams, and all teams periodically, even while another is pending', async () => {
+    const { sent, quotas, admit } = setUpLimiter();
     for (let index = 0; index < teams; index += 1) await admit(index);
     assert.deepEqual(
-      asked.map((uses) => uses.map(({ team }) => team)),
+      sent.map((uses) => uses.map(({ team }) => team)),
       Array.from({ length: teams }, (_none, index) => [nameOf(index)]),
     );
     const waiting = admit(0);
     quotas.maintain();
     await waiting;
-    const whole = asked.findIndex((uses) => uses.length === teams);
+    const whole = sent.findIndex((uses) => uses.length === teams);
     assert.equal(whole, teams + 1);
-    assert.ok(asked[whole]?.every((use) => use.used.requests >= 1));
+    assert.ok(sent[whole]?.every((use) => use.used.requests >= 1));
   });
-  it('tells of what it let in alone for want of an answer, and no more of it as waiting', async () => {
-    const { asked, admit, setUp } = lay({ life: true });
-    for (const began = Instant.now(); Instant.since(began) < young; await turn());
+  it('report what was admitted without a response as used and no longer as waiting', async () => {
+    const { sent, admit, setUp } = setUpLimiter({ life: true });
+    for (const began = Instant.now(); Instant.since(began) < startupMs; await nextTurn());
     assert.equal((await admit(0)).kind, 'in');
     setUp(false);
-    const before = asked.length;
+    const before = sent.length;
     const verdicts = await Promise.all([admit(0), admit(0), admit(0)]);
     assert.ok(verdicts.every(({ kind }) => kind === 'in'));
-    while (asked.length < before + 2) await turn();
-    const [use] = asked[before + 1] ?? [];
+    while (sent.length < before + 2) await nextTurn();
+    const [use] = sent[before + 1] ?? [];
     assert.deepEqual([use?.used.requests, use?.must.requests], [4, 0]);
   });
 });
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -1,5 +1,7 @@
-// Quotas per team hold over all proxies together: what is over them is dropped as not run, a lost duty holder
-// and a cut-off proxy cost no more than the even parts, and what certainly did not run is not charged.
+/**
+ * Quotas of teams apply to all proxies together: requests over a quota are refused as not run, neither the loss of the duty
+ * holder nor an isolated proxy admits more than the even shares, and requests that certainly did not run are not charged.
+ */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import type { Document } from '../src/manifest/document.js';
@@ -48,34 +50,34 @@
       { model: 'again', messages: [{ role: 'user', content }] },
       { authorization: `Bearer key-of-${name}` },
     );
-  const leader = async () => {
+  const findLeader = async () => {
     for (;;)
       for (const core of bench.kit.cores) {
-        const told = (await fetch(`http://${core.http}/health`)
+        const health = (await fetch(`http://${core.http}/health`)
           .then((answer) => answer.json())
           .catch(() => ({}))) as {
           state?: string;
         };
-        if (told.state === 'leading') return core;
+        if (health.state === 'leading') return core;
       }
   };
   const callMany = async (count: number, name: string, fronts: readonly number[] = [0, 1, 2]) => {
     const answers: Bench.Answer[] = [];
     for (let done = 0; done < count; done += fronts.length)
       answers.push(...(await Promise.all(fronts.map((front) => callAt(front, name)))));
-    const over = answers.filter((one) => one.status === 429);
-    for (const one of over) {
+    const refused = answers.filter((one) => one.status === 429);
+    for (const one of refused) {
       assert.equal(one.headers['bramblebend-ran'], 'no');
       assert.ok(Number(one.headers['retry-after']) >= 1);
       assert.equal(JSON.parse(one.text).error.code, 'over_quota');
     }
     const served = answers.filter((one) => one.status === 200).length;
-    const unrun = answers.filter((one) => one.status === 503 && one.headers['bramblebend-ran'] === 'no');
-    assert.equal(served + over.length + unrun.length, answers.length);
+    const notRun = answers.filter((one) => one.status === 503 && one.headers['bramblebend-ran'] === 'no');
+    assert.equal(served + refused.length + notRun.length, answers.length);
     return served;
   };
 
-  it('holds over all proxies together, and is shown by team', async () => {
+  it('applies to all proxies together, and is reported by team', async () => {
     const served = await callMany(90, 'first');
     assert.ok(served <= requests && served >= requests - 6, `${served} of ${requests}`);
     assert.equal(a.reached.length + far.reached.length, served);
@@ -84,7 +86,7 @@
     assert.ok(teams.first!.used.requests >= served, JSON.stringify(teams));
   });
 
-  it('counts prompt work, and does not charge what certainly did not run', async () => {
+  it('counts prompt sizes, and does not charge requests that certainly did not run', async () => {
     await bench.list([]);
     for (let count = 0; count < 5; count += 1)
       assert.equal((await callAt(0, 'wordy', 'x'.repeat(2000))).status, 503);
@@ -93,27 +95,27 @@
     assert.equal((await callAt(2, 'wordy', 'x'.repeat(2500))).status, 429);
   });
 
-  it('holds when the duty’s holder is killed midway', async () => {
+  it('applies when the holder of the duty is killed in between', async () => {
     let served = await callMany(12, 'second');
-    const holder = await leader();
+    const holder = await findLeader();
     await holder.process?.end('SIGKILL');
     served += await callMany(90, 'second');
-    const next = await leader();
+    const next = await findLeader();
     assert.notEqual(next, holder);
     served += await callMany(60, 'second');
     assert.ok(served <= requests && served > 12, `${served} of ${requests}`);
     await bench.kit.startCore(holder);
   });
 
-  it('lets a cut-off proxy let in its even part and no more', async () => {
+  it('lets an isolated proxy admit its even share and no more', async () => {
     const ip = (address: string) => address.split(':')[0]!;
     const front = bench.kit.fronts[2]!;
     const others = [...bench.kit.cores, ...bench.kit.fronts.slice(0, 2)].map((one) => ip(one.wire));
     const heal = bench.faults!.cut([ip(front.wire)], others, 'both');
     const alone = await callMany(40, 'third', [2]);
-    assert.ok(alone > 0 && alone <= requests / 3, `${alone} let in alone`);
+    assert.ok(alone > 0 && alone <= requests / 3, `${alone} admitted by the isolated proxy`);
     const rest = await callMany(90, 'third', [0, 1]);
     heal();
-    assert.ok(rest <= requests, `${rest} let in by the others`);
+    assert.ok(rest <= requests, `${rest} admitted by the others`);
   });
 });
--- a/test/ready.test.ts
+++ b/test/ready.test.ts
@@ -1,12 +1,13 @@
-// When a proxy may be sent callers: with a configuration in force and a list of servers heard, be it empty; a list that
-// does not come is waited for within a bound.
+/**
+ * Readiness of a proxy: it needs an active manifest and a list of servers, which may be empty; the wait for a list is limited.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { Compiled } from '../src/manifest/compiled.js';
 import { Ready } from '../src/proxy/ready.js';
 import { ManualClock } from './manual-clock.js';
 
-const inForce = (evacuated: readonly string[] = []) =>
+const manifestWith = (evacuated: readonly string[] = []) =>
   ({ isEvacuated: (zone: string) => evacuated.includes(zone) }) as unknown as Compiled;
 
 const start = () => {
@@ -26,22 +27,22 @@
     state.serial = 1;
     assert.equal(reason(), 'no manifest yet');
     state.serial = 0;
-    state.compiled = inForce();
+    state.compiled = manifestWith();
     assert.equal(reason(), 'no list of servers yet');
     state.serial = 7;
     assert.equal(reason(), undefined);
   });
-  it('takes a list that is empty for known', () => {
+  it('accepts an empty list', () => {
     const { state, reason } = start();
-    state.compiled = inForce();
+    state.compiled = manifestWith();
     state.serial = 1;
     assert.equal(reason(), undefined);
   });
-  it('waits for a slow list no longer than its bound', () => {
+  it('waits for a list only for a limited time', () => {
     const clock = ManualClock.install();
     try {
       const { state, reason } = start();
-      state.compiled = inForce();
+      state.compiled = manifestWith();
       clock.advance(Ready.maxListWaitMs - 1);
       assert.equal(reason(), 'no list of servers yet');
       clock.advance(1);
@@ -50,12 +51,12 @@
       clock.uninstall();
     }
   });
-  it('is none while the proxy drains or its zone is evacuated', () => {
+  it('is withdrawn while the proxy drains or its zone is evacuated', () => {
     const { state, reason } = start();
     state.serial = 1;
-    state.compiled = inForce(['a-1']);
+    state.compiled = manifestWith(['a-1']);
     assert.equal(reason(), 'zone evacuated');
-    state.compiled = inForce(['b-1']);
+    state.compiled = manifestWith(['b-1']);
     assert.equal(reason(), undefined);
     state.isDraining = true;
     assert.equal(reason(), 'draining');
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -1,5 +1,7 @@
-// Load reports: one core asks the servers, every proxy of the tree hears what they said and minds it, and that goes
-// on when the core that asked is killed.
+/**
+ * Load reports: one core polls the servers, every proxy receives the reports and avoids full servers, and this continues after
+ * the core that polls is killed.
+ */
 import assert from 'node:assert/strict';
 import { after, before, describe, it } from 'node:test';
 import type { Document } from '../src/manifest/document.js';
@@ -26,7 +28,7 @@
   let bench: Bench;
   let servers: Bench.BackEnd[];
   let full = 's1';
-  const asked: { at: number; by: string }[] = [];
+  const polls: { at: number; by: string }[] = [];
 
   before(async () => {
     const own = new URL('../tools/reporting/', import.meta.url);
@@ -43,7 +45,7 @@
         region: 'a',
         handle(incoming, response) {
           if (incoming.url !== '/load') return void response.end(instance);
-          asked.push({ at: performance.now(), by: String(incoming.headers['x-asked-by']) });
+          polls.push({ at: performance.now(), by: String(incoming.headers['x-asked-by']) });
           response.end(JSON.stringify({ queued: 0, active: 0, bound: instance === full ? 1 : 0 }));
         },
       });
@@ -52,39 +54,39 @@
   });
   after(() => bench.stop());
 
-  const ask = async (front: number) => {
+  const send = async (front: number) => {
     const headers = { authorization: '', 'content-type': 'text/plain' };
     return (await Bench.call(bench.kit.fronts[front]!.listen, '/reads/x', 'body', headers)).text;
   };
   const isAvoided = async () => {
-    const told = await Promise.all(Array.from({ length: 30 }, (_none, index) => ask(index % 3)));
-    return told.every((name) => name !== full);
+    const served = await Promise.all(Array.from({ length: 30 }, (_none, index) => send(index % 3)));
+    return served.every((name) => name !== full);
   };
-  const avoidedWithin = async (span: number) => {
+  const isAvoidedWithin = async (span: number) => {
     const from = performance.now();
     for (let inRow = 0; inRow < 3; ) {
       if (performance.now() - from > span) return false;
-      const isHeard = asked.filter(({ at }) => at > from).length >= 2 * servers.length;
+      const isHeard = polls.filter(({ at }) => at > from).length >= 2 * servers.length;
       inRow = isHeard && (await isAvoided()) ? inRow + 1 : 0;
-      if (!isHeard) await ask(0);
+      if (!isHeard) await send(0);
     }
     return true;
   };
-  const askers = (from: number) => [...new Set(asked.filter(({ at }) => at >= from).map(({ by }) => by))];
+  const pollers = (from: number) => [...new Set(polls.filter(({ at }) => at >= from).map(({ by }) => by))];
 
   it('reach every proxy from one core, and again after that core was killed', async () => {
-    assert.ok(await avoidedWithin(20_000), 'a full server is avoided by every proxy');
+    assert.ok(await isAvoidedWithin(20_000), 'a full server is avoided by every proxy');
     const from = performance.now();
     full = 's2';
-    assert.ok(await avoidedWithin(10_000), 'and so is the next');
-    const first = askers(from);
-    assert.equal(first.length, 1, first.join());
-    await bench.kit.cores.find(({ node }) => node === first[0])!.process!.end('SIGKILL');
+    assert.ok(await isAvoidedWithin(10_000), 'and so is the next');
+    const firstPollers = pollers(from);
+    assert.equal(firstPollers.length, 1, firstPollers.join());
+    await bench.kit.cores.find(({ node }) => node === firstPollers[0])!.process!.end('SIGKILL');
     const killed = performance.now();
     full = 's1';
-    assert.ok(await avoidedWithin(30_000), 'and again under another primary');
-    const next = askers(killed);
-    assert.equal(next.length, 1, next.join());
-    assert.notEqual(next[0], first[0]);
+    assert.ok(await isAvoidedWithin(30_000), 'and again under another primary');
+    const nextPollers = pollers(killed);
+    assert.equal(nextPollers.length, 1, nextPollers.join());
+    assert.notEqual(nextPollers[0], firstPollers[0]);
   });
 });
