--- a/test/failures.test.ts
+++ b/test/failures.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { afterEach, describe, it, mock } from 'node:test';
-import { FailureSums } from '../src/duty/failure-sums.js';
+import { FailureAggregator } from '../src/duty/failure-aggregator.js';
 import type { Compiled } from '../src/manifest/compiled.js';
 import type { Candidate } from '../src/upstream/candidate.js';
 import { FailureScores } from '../src/upstream/failure-scores.js';
@@ -100,7 +100,7 @@
 
   it('are summed at a control node, which forwards the highest', async () => {
     const reports = await new Promise<readonly Frame.Failed[]>((resolve) => {
-      const sums = FailureSums.of((failed) => {
+      const sums = FailureAggregator.of((failed) => {
         sums.stop();
         resolve(failed);
       });
