--- a/src/control/adapter.ts
+++ b/src/control/adapter.ts
@@ -3,7 +3,7 @@
 import type { Context, Hono } from 'hono';
 import type { ListSource } from '../duty/list-source.js';
 import type { ReportSource } from '../duty/report-source.js';
-import type { Office } from './office.js';
+import type { PrimaryGateway } from './primary-gateway.js';
 import type { ReadDirectory } from './queries/read-directory.js';
 import type { Responses } from './responses.js';
 
@@ -20,7 +20,7 @@
 export declare namespace Adapter {
   type Handle = (context: Context) => Promise<Responses> | Responses;
   type Ways = {
-    readonly office: Office;
+    readonly office: PrimaryGateway;
     readonly order: (handle: Handle) => (context: Context) => Promise<Response>;
   };
 }
--- a/src/control/commands/evacuate.ts
+++ b/src/control/commands/evacuate.ts
@@ -2,7 +2,7 @@
 // and kept by those that follow.
 import type { Id } from '../../common/id.js';
 import { State } from '../../store/state.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import { Responses } from '../responses.js';
 import { Rights } from '../rights.js';
 
@@ -15,7 +15,10 @@
 const anOperator: Rights.Person = { name: 'operator', teams: undefined };
 
 export const Evacuate = {
-  async run(office: Office, { zone, isEvacuated, by: person = anOperator }: Evacuate): Promise<Responses> {
+  async run(
+    office: PrimaryGateway,
+    { zone, isEvacuated, by: person = anOperator }: Evacuate,
+  ): Promise<Responses> {
     const by = person.name;
     const denied = Rights.denied(person, { teams: [], others: ['evacuations'] });
     if (denied) return Responses.fail(403, 'not_yours', denied);
--- a/src/control/commands/leave.ts
+++ b/src/control/commands/leave.ts
@@ -1,13 +1,13 @@
 // A notice that an instance is leaving. It holds until the platform's list no longer names the instance.
 import type { Guard } from '../../common/guard.js';
 import { Document } from '../../manifest/document.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import { Responses } from '../responses.js';
 
 export type Leave = { readonly body: unknown };
 
 export const Leave = {
-  async run(office: Office, { body }: Leave): Promise<Responses> {
+  async run(office: PrimaryGateway, { body }: Leave): Promise<Responses> {
     const findings: Guard.Finding[] = [];
     if (!Document.leaving(body, '', findings))
       return Responses.fail(422, 'invalid_notice', 'the notice was not taken', { findings });
--- a/src/control/commands/put-manifest.ts
+++ b/src/control/commands/put-manifest.ts
@@ -8,7 +8,7 @@
 import { WallChange } from '../../manifest/wall-change.js';
 import { Orders } from '../../store/orders.js';
 import { State } from '../../store/state.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import { Responses } from '../responses.js';
 import { Rights } from '../rights.js';
 
@@ -81,7 +81,7 @@
   knownAnswer,
   unclearAnswer,
   /** Takes the manifest, or says why not. */
-  async run(office: Office, put: PutManifest): Promise<Responses> {
+  async run(office: PrimaryGateway, put: PutManifest): Promise<Responses> {
     const checked = Check.manifest(put.body);
     if (checked.kind === 'bad')
       return Responses.fail(422, 'invalid_manifest', 'the manifest was not taken', {
--- a/src/control/commands/put-numbered.ts
+++ b/src/control/commands/put-numbered.ts
@@ -6,7 +6,7 @@
 import type { Document } from '../../manifest/document.js';
 import { Orders } from '../../store/orders.js';
 import { State } from '../../store/state.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import { Responses } from '../responses.js';
 
 /** An order to replace the manifest that has the number `base`. */
@@ -19,7 +19,7 @@
 
 export const PutNumbered = {
   /** Takes the manifest, or says why not. */
-  async run(office: Office, { base, document }: PutNumbered): Promise<Responses> {
+  async run(office: PrimaryGateway, { base, document }: PutNumbered): Promise<Responses> {
     const checked = Check.manifest(document);
     if (checked.kind === 'bad')
       return Responses.fail(400, 'invalid_manifest', 'the manifest was not taken', {
--- a/src/control/commands/put-servers.ts
+++ b/src/control/commands/put-servers.ts
@@ -2,13 +2,13 @@
 // one held is dropped, and the same one again is answered as before.
 import { isDeepStrictEqual } from 'node:util';
 import { Check } from '../../manifest/check.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import { Responses } from '../responses.js';
 
 export type PutServers = { readonly body: unknown };
 
 export const PutServers = {
-  async run(office: Office, { body }: PutServers): Promise<Responses> {
+  async run(office: PrimaryGateway, { body }: PutServers): Promise<Responses> {
     const checked = Check.servers(body);
     if (!('serial' in checked))
       return Responses.fail(422, 'invalid_servers', 'the list was not taken', { findings: checked });
--- a/src/control/commands/renew-list.ts
+++ b/src/control/commands/renew-list.ts
@@ -1,13 +1,13 @@
 // Take the list of servers as polled, under the next serial. Nothing is written when it is the one held.
 import { isDeepStrictEqual } from 'node:util';
 import type { Document } from '../../manifest/document.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import type { Responses } from '../responses.js';
 
 export type RenewList = { readonly servers: readonly Document.Server[] };
 
 export const RenewList = {
-  async run(office: Office, { servers }: RenewList): Promise<Responses> {
+  async run(office: PrimaryGateway, { servers }: RenewList): Promise<Responses> {
     const at = new Date().toISOString();
     return office.change(
       ({ platform }, stamp) =>
--- a/src/control/commands/rollback.ts
+++ b/src/control/commands/rollback.ts
@@ -3,7 +3,7 @@
 import { Guard } from '../../common/guard.js';
 import { Revision } from '../../common/revision.js';
 import { State } from '../../store/state.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import { Responses } from '../responses.js';
 import { PutManifest } from './put-manifest.js';
 
@@ -14,7 +14,7 @@
 
 export const Rollback = {
   /** Puts the manifest of the revision asked for as a new one. */
-  async run(office: Office, rollback: Rollback): Promise<Responses> {
+  async run(office: PrimaryGateway, rollback: Rollback): Promise<Responses> {
     const findings: Guard.Finding[] = [];
     if (!form(rollback.body, '', findings))
       return Responses.fail(422, 'invalid_rollback', 'nothing was changed', { findings });
--- a/src/control/core.ts
+++ b/src/control/core.ts
@@ -12,14 +12,14 @@
 import type { Primary } from '../replica/primary.js';
 import { State } from '../store/state.js';
 import type { Frame } from '../wire/frame.js';
-import { Forming } from './forming.js';
-import { Following } from './life/following.js';
-import { Joining } from './life/joining.js';
-import { KnownTerm } from './life/known-term.js';
-import { Leading } from './life/leading.js';
-import { Leaving } from './life/leaving.js';
-import type { Life } from './life/life.js';
-import { Regrouping } from './life/regrouping.js';
+import { FormationRules } from './formation-rules.js';
+import { ClusterFormation } from './lifecycle/cluster-formation.js';
+import type { CoreContext } from './lifecycle/core-context.js';
+import { Following } from './lifecycle/following.js';
+import { Joining } from './lifecycle/joining.js';
+import { KnownTerm } from './lifecycle/known-term.js';
+import { Leading } from './lifecycle/leading.js';
+import { Leaving } from './lifecycle/leaving.js';
 
 export type Core = {
   readonly state: () => Core.State;
@@ -27,15 +27,15 @@
   readonly term: () => Term | undefined;
   readonly join: (core: Frame.Core) => Promise<string>;
   readonly isRetired: () => boolean;
-  readonly confirmedFor: () => number | undefined;
+  readonly confirmationAge: () => number | undefined;
   /** The primary asks this core to take over; returns the reason where it will not. */
-  readonly yielded: () => string | undefined;
+  readonly requestTakeover: () => string | undefined;
   /** Releases another core that is about to end, where this one leads. */
   readonly release: (core: Frame.Core, successor: Frame.Core | null) => Promise<string>;
   readonly isLeaving: () => boolean;
   /** Hands over what this core does before it ends, as far as that goes within a bound. */
   readonly leave: () => Promise<void>;
-  readonly stir: () => void;
+  readonly wake: () => void;
   readonly force: () => Promise<string>;
   readonly begin: () => void;
   /** Ends within a bound, whatever the disk and the others do: no change that waits is acknowledged any more. */
@@ -43,8 +43,8 @@
 };
 
 export declare namespace Core {
-  type State = Life.State;
-  type Needs = Life.Needs;
+  type State = CoreContext.State;
+  type Options = CoreContext.Options;
 }
 
 /** The pause between two steps, and between two rounds of votes at a blank core, in milliseconds. */
@@ -68,8 +68,8 @@
   return { run, wake };
 };
 
-const phaseOf = (note: Life.Needs['note']): StateMachine<Life.State> =>
-  StateMachine.of<Life.State>(
+const phaseOf = (note: CoreContext.Options['note']): StateMachine<CoreContext.State> =>
+  StateMachine.of<CoreContext.State>(
     'blank',
     {
       blank: ['following', 'stopped'],
@@ -80,24 +80,24 @@
     (from, to) => note('core changed', { from, to }),
   );
 
-const confirmedFor = ({ primary }: Life): number | undefined => {
+const confirmedFor = ({ primary }: CoreContext): number | undefined => {
   const isSettled = primary && State.isSettled(primary.state(), primary.term().formed);
   return primary && isSettled && primary.isLeading() ? Instant.since(primary.confirmedAt()) : undefined;
 };
 
-const lifeOf = (needs: Core.Needs, wake: () => void, onOther: (term: Term) => void): Life => {
-  const life: Life = {
-    needs,
+const lifeOf = (needs: Core.Options, wake: () => void, onOther: (term: Term) => void): CoreContext => {
+  const life: CoreContext = {
+    options: needs,
     phase: phaseOf(needs.note),
-    known: KnownTerm.of(onOther),
+    knownTerm: KnownTerm.of(onOther),
     votes: [],
     primary: undefined,
     isAskedToTakeOver: false,
     isLeaving: false,
     wake,
-    async look() {
+    async collectVotes() {
       life.votes = await needs.proposer.votes();
-      for (const { term, accepted } of life.votes) life.known.learn(term, accepted ?? Ballot.none);
+      for (const { term, accepted } of life.votes) life.knownTerm.learn(term, accepted ?? Ballot.none);
       await life.primary?.announce(life.votes);
     },
   };
@@ -105,7 +105,7 @@
 };
 
 export const Core = {
-  of(needs: Core.Needs): Core {
+  of(needs: Core.Options): Core {
     const { register, note } = needs;
     const stop = new AbortController();
     const steps = runSteps(() => step(), stop.signal);
@@ -114,9 +114,9 @@
       following.reset();
       if (term.primary !== register.disk) life.primary?.depose(`deposed by ${Term.text(term)}`);
     });
-    const { phase, known } = life;
-    const forming = Forming.of(needs);
-    const regrouping = Regrouping.of(life, forming);
+    const { phase, knownTerm: known } = life;
+    const forming = FormationRules.of(needs);
+    const regrouping = ClusterFormation.of(life, forming);
     const leading = Leading.of(life, forming);
     const following = Following.of(life, leading);
     const joining = Joining.of(life);
@@ -129,15 +129,15 @@
     });
     const survey = async () => {
       while (!stop.signal.aborted) {
-        await life.look().catch((error) => note('no votes came', { why: Failure.text(error) }));
+        await life.collectVotes().catch((error) => note('no votes came', { why: Failure.text(error) }));
         steps.wake();
         await Timer.sleepAligned(phase.is('blank') ? stepEvery : votesEvery, stop.signal);
       }
     };
     const take = async () => {
-      await joining.retire();
+      await joining.retireIfReplaced();
       if (phase.is('blank') && !register.isBlank()) phase.transitionTo('following');
-      needs.tend([...(known.term()?.cores.map((core) => core.wire) ?? []), ...needs.places()]);
+      needs.connectTo([...(known.term()?.cores.map((core) => core.wire) ?? []), ...needs.addresses()]);
       if (phase.is('leading')) await leading.step();
       else if (!(await regrouping.step())) await (phase.is('blank') ? joining.ask() : following.step());
     };
@@ -154,8 +154,8 @@
       join: async (core) => (life.primary ? life.primary.join(core) : 'this core does not lead'),
       force: regrouping.force,
       isRetired: joining.isRetired,
-      confirmedFor: () => confirmedFor(life),
-      yielded() {
+      confirmationAge: () => confirmedFor(life),
+      requestTakeover() {
         if (life.isLeaving) return 'this core is about to end';
         life.isAskedToTakeOver = true;
         steps.wake();
@@ -164,7 +164,7 @@
       release: async (core, successor) => life.primary?.leave(core, successor) ?? 'this core does not lead',
       isLeaving: () => life.isLeaving,
       leave: leaving.run,
-      stir: steps.wake,
+      wake: steps.wake,
       async stop() {
         stop.abort();
         life.isLeaving = true;
--- a/src/control/folder.ts
+++ b/src/control/data-folder.ts
@@ -11,7 +11,7 @@
 import type { Seal } from '../store/seal.js';
 import { Store } from '../store/store.js';
 
-export type Folder = { readonly register: Register; readonly store: Store };
+export type DataFolder = { readonly register: Register; readonly store: Store };
 
 const retired = 'retired';
 
@@ -25,20 +25,20 @@
 
 type Alert = (text: string, facts: Record<string, unknown>) => void;
 
-const open = async (folder: string, alert: Alert, seal: Seal | undefined): Promise<Folder> => {
+const open = async (folder: string, alert: Alert, seal: Seal | undefined): Promise<DataFolder> => {
   const register = await Register.open(await File.open(folder, 'register.log'));
   const store = await Store.open(folder, seal, alert);
   register.raise(store.state().stamp.epoch);
   return { register, store };
 };
 
-export const Folder = {
-  async retire(folder: string): Promise<void> {
+export const DataFolder = {
+  async markRetired(folder: string): Promise<void> {
     const handle = await openFile(join(folder, retired), 'w');
     await handle.sync();
     await handle.close();
   },
-  async open(folder: string, alert: Alert, seal?: Seal): Promise<Folder> {
+  async open(folder: string, alert: Alert, seal?: Seal): Promise<DataFolder> {
     if (existsSync(join(folder, retired))) {
       alert('this core was retired; it begins anew as a spare', { aside: await setAside(folder, retired) });
       await rm(join(folder, retired));
--- a/src/control/forming.ts
+++ b/src/control/formation-rules.ts
@@ -9,19 +9,19 @@
 import { Vote } from '../epoch/vote.js';
 import type { Frame } from '../wire/frame.js';
 
-export type Forming = {
-  readonly size: number;
-  readonly may: (votes: readonly Vote[]) => boolean;
-  readonly isSure: (votes: readonly Vote[]) => boolean;
-  readonly first: (votes: readonly Vote[]) => string | undefined;
-  readonly term: (votes: readonly Vote[]) => Term;
+export type FormationRules = {
+  readonly clusterSize: number;
+  readonly isAllowed: (votes: readonly Vote[]) => boolean;
+  readonly isCertain: (votes: readonly Vote[]) => boolean;
+  readonly initiatorDisk: (votes: readonly Vote[]) => string | undefined;
+  readonly buildTerm: (votes: readonly Vote[]) => Term;
 };
 
 type Votes = readonly Vote[];
 
 const { remembering } = Vote;
 
-export const Forming = {
+export const FormationRules = {
   /**
    * A listed core whose very disk answers counts as one that remembers, also when it is blank: it is a newcomer that was not
    * told yet, and the term that lists it may be held by its proposer alone and never be chosen. The core whose
@@ -31,7 +31,7 @@
     readonly losses: number;
     readonly isInitial: boolean;
     readonly seeds: readonly string[];
-  }): Forming {
+  }): FormationRules {
     const size = 2 * needs.losses + 1;
     const chosen = (votes: Votes): Vote[] =>
       [...votes]
@@ -43,8 +43,8 @@
         )
         .slice(0, size);
     return {
-      size,
-      may(votes) {
+      clusterSize: size,
+      isAllowed(votes) {
         if (votes.length < size) return false;
         const newest = Vote.newest(remembering(votes))?.term;
         if (!newest) return true;
@@ -56,12 +56,12 @@
         const isLost = left.length < Term.majority(newest) && !holders.some(isAway);
         return isLost || holders.length === 0;
       },
-      isSure: (votes) =>
+      isCertain: (votes) =>
         needs.isInitial ||
         remembering(votes).length > 0 ||
         needs.seeds.every((seed) => votes.some(({ core }) => core.wire === seed)),
-      first: (votes) => chosen(votes)[0]?.core.disk,
-      term(votes) {
+      initiatorDisk: (votes) => chosen(votes)[0]?.core.disk,
+      buildTerm(votes) {
         const best = chosen(votes).sort(
           (a, b) =>
             Number(b.isAble) - Number(a.isAble) ||
--- a/src/control/http.ts
+++ b/src/control/http.ts
@@ -18,7 +18,7 @@
 import { PutServers } from './commands/put-servers.js';
 import { Rollback } from './commands/rollback.js';
 import type { Core } from './core.js';
-import type { Office } from './office.js';
+import type { PrimaryGateway } from './primary-gateway.js';
 import { ReadDirectory } from './queries/read-directory.js';
 import { ReadEvacuations } from './queries/read-evacuations.js';
 import { ReadManifest } from './queries/read-manifest.js';
@@ -32,7 +32,7 @@
 export declare namespace ControlHttp {
   type Needs = {
     readonly startup: Startup['control'];
-    readonly office: Office;
+    readonly office: PrimaryGateway;
     readonly core: Core;
     readonly roll: Roll;
     readonly usage: () => object;
--- a/src/control/life/life.ts
+++ b/src/control/lifecycle/core-context.ts
@@ -12,10 +12,10 @@
 import type { PeerClient } from '../../wire/peer-client.js';
 import type { KnownTerm } from './known-term.js';
 
-export type Life = {
-  readonly needs: Life.Needs;
-  readonly phase: StateMachine<Life.State>;
-  readonly known: KnownTerm;
+export type CoreContext = {
+  readonly options: CoreContext.Options;
+  readonly phase: StateMachine<CoreContext.State>;
+  readonly knownTerm: KnownTerm;
   /** The votes that came last. */
   votes: readonly Vote[];
   /** What this core does as primary, while it is one. */
@@ -25,14 +25,14 @@
   /** Whether this process is about to end: it takes no office any more. */
   isLeaving: boolean;
   /** Asks all others for their votes. */
-  readonly look: () => Promise<void>;
+  readonly collectVotes: () => Promise<void>;
   /** Lets the next step come at once. */
   readonly wake: () => void;
 };
 
-export declare namespace Life {
+export declare namespace CoreContext {
   type State = 'blank' | 'following' | 'leading' | 'stopped';
-  type Needs = {
+  type Options = {
     readonly register: Register;
     readonly store: Store;
     readonly losses: number;
@@ -40,12 +40,12 @@
     readonly seeds: readonly string[];
     readonly proposer: Proposer;
     readonly self: () => Frame.Core;
-    readonly courierTo: (core: Frame.Core) => PeerClient | undefined;
-    readonly tend: (places: readonly string[]) => void;
-    readonly places: () => readonly string[];
-    readonly offered: () => View;
+    readonly clientFor: (core: Frame.Core) => PeerClient | undefined;
+    readonly connectTo: (places: readonly string[]) => void;
+    readonly addresses: () => readonly string[];
+    readonly offeredView: () => View;
     readonly quietFor: () => number;
-    readonly retire: () => Promise<void>;
+    readonly markRetired: () => Promise<void>;
     readonly publish: (view: View) => void;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
     readonly alert: (text: string, facts?: Record<string, unknown>) => void;
--- a/src/control/life/following.ts
+++ b/src/control/lifecycle/following.ts
@@ -5,8 +5,8 @@
 import { Failure } from '../../common/failure.js';
 import { Instant } from '../../common/instant.js';
 import { Term } from '../../epoch/term.js';
+import type { CoreContext } from './core-context.js';
 import type { Leading } from './leading.js';
-import type { Life } from './life.js';
 
 export type Following = {
   readonly step: () => Promise<void>;
@@ -22,15 +22,15 @@
 const mendEvery = 500;
 
 /** How many live cores in sync go before this one, when the primary is lost. */
-const rankIn = ({ needs }: Life, term: Term): number =>
+const rankIn = ({ options: needs }: CoreContext, term: Term): number =>
   term.inSync.slice(0, term.inSync.indexOf(needs.register.disk)).filter((disk) => {
     const peer = disk === term.primary ? undefined : Term.core(term, disk);
-    return peer !== undefined && needs.courierTo(peer)?.downFor() === 0;
+    return peer !== undefined && needs.clientFor(peer)?.downFor() === 0;
   }).length;
 
-const isPrimaryLost = ({ needs, isAskedToTakeOver }: Life, term: Term): boolean => {
+const isPrimaryLost = ({ options: needs, isAskedToTakeOver }: CoreContext, term: Term): boolean => {
   const core = Term.core(term, term.primary);
-  const courier = core && needs.courierTo(core);
+  const courier = core && needs.clientFor(core);
   return !core || !courier?.reaches(core) || courier.downFor() > takeOverAfter || isAskedToTakeOver;
 };
 
@@ -38,8 +38,8 @@
  * Takes the primary's place: raises the floor first, so that nothing more is taken from the primary of
  * before, then changes the register, if that still holds the very term that is taken over from.
  */
-const claim = async (life: Life, from: Term, leading: Leading): Promise<void> => {
-  const { register, store, proposer } = life.needs;
+const claim = async (life: CoreContext, from: Term, leading: Leading): Promise<void> => {
+  const { register, store, proposer } = life.options;
   register.raise(Epoch.after(from.epoch));
   await store.idle();
   const { isDone, term, ballot } = await proposer.change((base) =>
@@ -47,13 +47,13 @@
       ? Term.next(base, { primary: register.disk })
       : undefined,
   );
-  life.known.learn(term, ballot);
+  life.knownTerm.learn(term, ballot);
   if (isDone && term) await leading.begin(term, ballot);
 };
 
 export const Following = {
-  of(life: Life, leading: Leading): Following {
-    const { register, store, note } = life.needs;
+  of(life: CoreContext, leading: Leading): Following {
+    const { register, store, note } = life.options;
     let missedSince: Instant | undefined;
     let mendedAt = Instant.past;
     const mend = () => {
@@ -71,7 +71,7 @@
       },
       async step() {
         mend();
-        const term = life.known.term();
+        const term = life.knownTerm.term();
         if (!term || !Term.isInSync(term, register.disk) || !store.isSound() || life.isLeaving) return;
         if (term.primary !== register.disk) {
           if (!isNext(term)) return;
--- a/src/control/life/joining.ts
+++ b/src/control/lifecycle/joining.ts
@@ -3,12 +3,12 @@
 
 import { Instant } from '../../common/instant.js';
 import { Term } from '../../epoch/term.js';
-import type { Life } from './life.js';
+import type { CoreContext } from './core-context.js';
 
 export type Joining = {
   readonly ask: () => Promise<void>;
   readonly isRetired: () => boolean;
-  readonly retire: () => Promise<void>;
+  readonly retireIfReplaced: () => Promise<void>;
 };
 
 /** How long the primary may take to answer a core that asks for a place, in milliseconds. */
@@ -18,8 +18,8 @@
 const longestPause = 1600;
 
 export const Joining = {
-  of(life: Life): Joining {
-    const { register, proposer, courierTo, self, note, alert, ...needs } = life.needs;
+  of(life: CoreContext): Joining {
+    const { register, proposer, clientFor: courierTo, self, note, alert, ...needs } = life.options;
     let isTold = false;
     let declined = { epoch: -1, count: 0 };
     let mayAskAt: Instant = Instant.past;
@@ -29,13 +29,13 @@
       mayAskAt = Instant.after(Math.min(longestPause, firstPause * 2 ** declined.count));
     };
     const isRetired = () => {
-      const term = life.known.term();
+      const term = life.knownTerm.term();
       return term !== undefined && !register.isBlank() && !Term.has(term, register.disk);
     };
     return {
       isRetired,
       async ask() {
-        const term = life.known.term();
+        const term = life.knownTerm.term();
         const core = term && Term.core(term, term.primary);
         if (!term || !core || Term.has(term, register.disk) || life.isLeaving) return;
         if (declined.epoch === term.epoch && !Instant.isPast(mayAskAt)) return;
@@ -44,12 +44,12 @@
         putOff(term.epoch);
         note('asked to join', { why: reply.why });
       },
-      async retire() {
+      async retireIfReplaced() {
         if (isTold || !isRetired()) return;
         const term = await proposer.read();
         if (!term || Term.has(term, register.disk)) return;
         isTold = true;
-        await needs.retire();
+        await needs.markRetired();
         alert('this core’s slot was given to another disk; it takes no part until it is started again');
       },
     };
--- a/src/control/life/leading.ts
+++ b/src/control/lifecycle/leading.ts
@@ -9,8 +9,8 @@
 import { Term } from '../../epoch/term.js';
 import { Primary } from '../../replica/primary.js';
 import { State } from '../../store/state.js';
-import type { Forming } from '../forming.js';
-import type { Life } from './life.js';
+import type { FormationRules } from '../formation-rules.js';
+import type { CoreContext } from './core-context.js';
 
 export type Leading = {
   /** Begins to lead under a term that names this core primary and is chosen. */
@@ -24,19 +24,19 @@
 const gatherFor = { least: 1200, quiet: 600, most: 2500 } as const;
 
 /** Whether the cores form for the very first time, when no node can hold anything. */
-const isFirstStart = (needs: Life['needs'], leader: Primary): boolean =>
+const isFirstStart = (needs: CoreContext['options'], leader: Primary): boolean =>
   needs.isInitial && leader.state().formed === 0;
 
 /** Whether the nodes had the time to offer the newest state that they hold. */
-const isGathered = ({ needs }: Life, leader: Primary, ledSince: Instant): boolean => {
+const isGathered = ({ options: needs }: CoreContext, leader: Primary, ledSince: Instant): boolean => {
   if (isFirstStart(needs, leader)) return true;
   const ledFor = Instant.since(ledSince);
   return ledFor > gatherFor.most || (ledFor > gatherFor.least && needs.quietFor() > gatherFor.quiet);
 };
 
-const settle = async (life: Life, leader: Primary, ledSince: Instant): Promise<void> => {
-  const { needs } = life;
-  const offered = needs.offered();
+const settle = async (life: CoreContext, leader: Primary, ledSince: Instant): Promise<void> => {
+  const { options: needs } = life;
+  const offered = needs.offeredView();
   const { formed } = leader.term();
   const isLate = Stamp.isNewer(offered.stamp, leader.state().stamp);
   const isUnsettled = leader.state().formed !== formed;
@@ -56,7 +56,7 @@
   }));
 };
 
-const primaryOf = ({ needs }: Life, term: Term, ballot: Ballot): Primary =>
+const primaryOf = ({ options: needs }: CoreContext, term: Term, ballot: Ballot): Primary =>
   Primary.of({
     disk: needs.register.disk,
     term,
@@ -64,7 +64,7 @@
     losses: needs.losses,
     store: needs.store,
     proposer: needs.proposer,
-    courierTo: needs.courierTo,
+    courierTo: needs.clientFor,
     note: needs.note,
     ...(needs.transfers ? { meter: needs.transfers } : {}),
     publish(state, under) {
@@ -73,8 +73,8 @@
   });
 
 export const Leading = {
-  of(life: Life, forming: Forming): Leading {
-    const { needs, phase } = life;
+  of(life: CoreContext, forming: FormationRules): Leading {
+    const { options: needs, phase } = life;
     let ledSince = Instant.now();
     let upkeep: Promise<void> | undefined;
     return {
@@ -96,7 +96,7 @@
       async step() {
         const mine = life.primary;
         if (!mine) return;
-        if (forming.may(life.votes)) return mine.depose('too few of the cores remember');
+        if (forming.isAllowed(life.votes)) return mine.depose('too few of the cores remember');
         upkeep ??= mine.maintain().finally(() => {
           upkeep = undefined;
         });
--- a/src/control/life/leaving.ts
+++ b/src/control/lifecycle/leaving.ts
@@ -11,8 +11,8 @@
 import { Term } from '../../epoch/term.js';
 import type { Vote } from '../../epoch/vote.js';
 import type { Frame } from '../../wire/frame.js';
+import type { CoreContext } from './core-context.js';
 import type { Joining } from './joining.js';
-import type { Life } from './life.js';
 
 export type Leaving = {
   /** Resolves once this core is released, or when the time is over. */
@@ -31,7 +31,7 @@
 type Others = 'able' | 'awaited' | 'too few';
 
 /** Whether a majority of the cores can go on without this one, now or once those that are silent or blank take part. */
-const othersOf = ({ needs }: Life, votes: readonly Vote[], term: Term): Others => {
+const othersOf = ({ options: needs }: CoreContext, votes: readonly Vote[], term: Term): Others => {
   const others = term.cores
     .filter(({ disk }) => disk !== needs.register.disk)
     .map(({ disk }) => votes.find(({ core }) => core.disk === disk));
@@ -42,30 +42,30 @@
 };
 
 const askForRelease = async (
-  { needs }: Life,
+  { options: needs }: CoreContext,
   term: Term,
   successor: Frame.Core | undefined,
   within: number,
 ): Promise<string> => {
   const primary = Term.core(term, term.primary);
   if (!primary || primary.disk === needs.register.disk) return 'no other core leads yet';
-  const courier = needs.courierTo(primary);
+  const courier = needs.clientFor(primary);
   const request = { kind: 'leave', core: needs.self(), successor: successor ?? null } as const;
   const reply = await courier?.ask(request, within);
   return reply?.kind === 'done' ? reply.why : 'the primary does not answer';
 };
 
 export const Leaving = {
-  of(life: Life, joining: Joining): Leaving {
-    const { register, proposer, note } = life.needs;
+  of(life: CoreContext, joining: Joining): Leaving {
+    const { register, proposer, note } = life.options;
     let successor: Frame.Core | undefined;
     /** One attempt; resolves with the reason why this core is not released yet, or with nothing. */
     const attempt = async (until: Instant, othersUntil: Instant): Promise<string> => {
       const late = Timer.sleep(votesWithin).then(() => undefined);
       const votes = await Promise.race([proposer.votes(), late]);
       if (!votes) return 'the others are slow';
-      for (const { term, accepted } of votes) life.known.learn(term, accepted ?? Ballot.none);
-      const term = life.known.term();
+      for (const { term, accepted } of votes) life.knownTerm.learn(term, accepted ?? Ballot.none);
+      const term = life.knownTerm.term();
       if (!term || register.isBlank() || !Term.has(term, register.disk)) return '';
       const others = othersOf(life, votes, term);
       if (others === 'awaited' && !Instant.isPast(othersUntil)) return 'others are silent';
@@ -88,8 +88,8 @@
         note('not released yet', { why });
         await Timer.sleep(againAfter);
       }
-      await life.look();
-      await joining.retire();
+      await life.collectVotes();
+      await joining.retireIfReplaced();
     };
     return {
       async run() {
--- a/src/control/desk.ts
+++ b/src/control/peer-request-handler.ts
@@ -11,17 +11,17 @@
 import type { Link } from '../wire/link.js';
 import { Protocol } from '../wire/protocol.js';
 
-export type Desk = {
+export type PeerRequestHandler = {
   readonly serve: (link: Link, frames: AsyncGenerator<Frame, void, void>) => Promise<void>;
 };
 
-export declare namespace Desk {
-  type Needs = {
+export declare namespace PeerRequestHandler {
+  type Options = {
     readonly register: Register;
     readonly proposer: Proposer;
     readonly backup: Backup;
     /** The primary asks this core to take over; returns the reason where it will not. */
-    readonly onYield: () => string | undefined;
+    readonly onTakeoverRequest: () => string | undefined;
     /** A core that is about to end asks for its release; resolves with the reason where it can't be released. */
     readonly leave?: (core: Frame.Core, successor: Frame.Core | null) => Promise<string>;
     readonly join: (core: Frame.Core) => Promise<string>;
@@ -43,8 +43,8 @@
   why,
 });
 
-export const Desk = {
-  of(needs: Desk.Needs): Desk {
+export const PeerRequestHandler = {
+  of(needs: PeerRequestHandler.Options): PeerRequestHandler {
     const { register, proposer } = needs;
     const vote = (serial: number, isGranted: boolean): Frame.Reply => ({
       kind: 'vote',
@@ -91,7 +91,7 @@
         .with({ kind: 'offer' }, (offer) => needs.backup.handleOffer(offer))
         .with({ kind: 'piece' }, (piece) => needs.backup.handlePiece(piece))
         .with({ kind: 'yield' }, async ({ serial }) => {
-          return done(serial, needs.onYield() ?? '');
+          return done(serial, needs.onTakeoverRequest() ?? '');
         })
         .with({ kind: 'leave' }, async ({ serial, core, successor }) =>
           done(serial, (await needs.leave?.(core, successor)) ?? 'this core releases none'),
--- a/src/control/peers.ts
+++ b/src/control/peers.ts
@@ -10,9 +10,9 @@
 import { PeerClient } from '../wire/peer-client.js';
 
 export type Peers = {
-  readonly tend: (places: readonly string[]) => void;
-  readonly couriers: () => readonly PeerClient[];
-  readonly at: (place: string) => PeerClient | undefined;
+  readonly connectTo: (places: readonly string[]) => void;
+  readonly clients: () => readonly PeerClient[];
+  readonly clientAt: (place: string) => PeerClient | undefined;
   readonly sendUp: (node: string, body: Frame.Body) => boolean;
   readonly stop: () => Promise<void>;
 };
@@ -20,7 +20,7 @@
 export const Peers = {
   of(needs: {
     readonly seeds: readonly string[];
-    readonly own: () => string;
+    readonly ownAddress: () => string;
     readonly feed: Feed;
     readonly age: () => number;
     readonly roll: Roll;
@@ -29,7 +29,7 @@
     readonly onLeaving: (instances: readonly string[]) => void;
     readonly onFailures: (failed: readonly Frame.Failed[]) => void;
     readonly onCold: (frame: Extract<Frame, { kind: 'cold' }>) => void;
-    readonly onUp: () => void;
+    readonly onConnect: () => void;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   }): Peers {
     const { feed, roll } = needs;
@@ -43,11 +43,11 @@
     return {
       sendUp: (node, body) =>
         [...held.values()].some(({ uplink }) => uplink.parent() === node && uplink.send(body)),
-      at: (place) => held.get(place)?.courier,
-      couriers: () => [...held.values()].map(({ courier }) => courier),
-      tend(places) {
+      clientAt: (place) => held.get(place)?.courier,
+      clients: () => [...held.values()].map(({ courier }) => courier),
+      connectTo(places) {
         const known = [...needs.seeds, ...places, ...[...heard.values()].flat()];
-        const wanted = new Set(known.filter((place) => place !== needs.own() && Address.parse(place)));
+        const wanted = new Set(known.filter((place) => place !== needs.ownAddress() && Address.parse(place)));
         for (const [place, peer] of held)
           if (!wanted.has(place)) {
             held.delete(place);
@@ -62,7 +62,7 @@
                 stamp: feed.stamp,
                 age: needs.age,
                 hello,
-                onConnect: needs.onUp,
+                onConnect: needs.onConnect,
               }),
               uplink: Uplink.run({
                 feed,
--- a/src/control/office.ts
+++ b/src/control/primary-gateway.ts
@@ -14,7 +14,7 @@
 import type { Responses } from './responses.js';
 
 /** The acting primary's place for commands and queries. */
-export type Office = {
+export type PrimaryGateway = {
   /** The newest acknowledged state, once a majority has confirmed that nobody else leads. */
   readonly confirm: () => Promise<State>;
   readonly isSettled: () => boolean;
@@ -25,8 +25,8 @@
   ) => Promise<Responses>;
 };
 
-export declare namespace Office {
-  type Needs = { readonly leading: () => Primary | undefined; readonly proposer: Proposer };
+export declare namespace PrimaryGateway {
+  type Options = { readonly leading: () => Primary | undefined; readonly proposer: Proposer };
 }
 
 /** How long an order may wait for its acknowledgement, in milliseconds. */
@@ -74,8 +74,8 @@
 
 const runOrder = async (
   { primary, isInTouch, confirm }: Order,
-  make: Parameters<Office['change']>[0],
-  tell: Parameters<Office['change']>[1],
+  make: Parameters<PrimaryGateway['change']>[0],
+  tell: Parameters<PrimaryGateway['change']>[1],
 ): Promise<Responses> => {
   let isBegun = false;
   let isExpired = false;
@@ -111,8 +111,8 @@
   }
 };
 
-export const Office = {
-  of({ leading, proposer }: Office.Needs): Office {
+export const PrimaryGateway = {
+  of({ leading, proposer }: PrimaryGateway.Options): PrimaryGateway {
     const isInTouch = touchOf();
     const mustLead = (): Primary => {
       const primary = leading();
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -36,14 +36,14 @@
 import type { Adapter } from './adapter.js';
 import { RenewList } from './commands/renew-list.js';
 import { Core } from './core.js';
-import { Desk } from './desk.js';
+import { DataFolder } from './data-folder.js';
 import { DirectoryHttp } from './directory-http.js';
-import { Ending } from './ending.js';
-import { Folder } from './folder.js';
 import { ControlHttp } from './http.js';
-import { Office } from './office.js';
+import { PeerRequestHandler } from './peer-request-handler.js';
 import { Peers } from './peers.js';
+import { PrimaryGateway } from './primary-gateway.js';
 import type { ReadDirectory } from './queries/read-directory.js';
+import { ShutdownStep } from './shutdown-step.js';
 
 const nearbyAgents = 6;
 const knowsAfter = 1500;
@@ -68,7 +68,7 @@
   async start(startup, ring, adapter = {}) {
     const began = Instant.now();
     const seal = startup.key_file === undefined ? undefined : await Seal.read(startup.key_file);
-    const { register, store } = await Folder.open(startup.data, ring.error, seal);
+    const { register, store } = await DataFolder.open(startup.data, ring.error, seal);
     const feed = Feed.of();
     const boot = Id.boot();
     let wire = startup.wire;
@@ -88,7 +88,7 @@
       ready: core?.term() !== undefined,
       vouched: false,
     }));
-    const age = (): number => core?.confirmedFor() ?? feed.age();
+    const age = (): number => core?.confirmationAge() ?? feed.age();
     /** Whether a primary that a majority confirms was heard of just now, here or over the others. */
     const isInTouch = () => age() < freshFor;
     const children = Children.of(roll);
@@ -105,7 +105,7 @@
     const sendDown = (frame: BudgetDuty.Tokens) => void children.send(frame.node, frame);
     const peers: Peers = Peers.of({
       seeds: startup.seeds,
-      own: () => wire,
+      ownAddress: () => wire,
       feed,
       age,
       roll,
@@ -114,7 +114,7 @@
       onLeaving: (instances) => children.broadcast({ kind: 'leaving', instances }, isBelow),
       onFailures: (failed) => children.broadcast({ kind: 'failures', failed }, isBelow),
       onCold: ({ stamp: _stamp, ...frame }) => children.broadcast(frame, isBelow),
-      onUp: () => core?.stir(),
+      onConnect: () => core?.wake(),
       note: ring.info,
     });
     const quotas = QuotaDuty.of({
@@ -137,7 +137,7 @@
       );
     const proposer = Proposer.of({
       register,
-      couriers: peers.couriers,
+      couriers: peers.clients,
       core: self,
       highest,
       isAble: () => store.isSound() && core?.isLeaving() !== true,
@@ -146,11 +146,11 @@
     const transfers = TransferMeter.of();
     const isLeading = () => core?.leading() !== undefined;
     const backup = Backup.of({ register, store, isLeading, meter: transfers });
-    const desk = Desk.of({
+    const desk = PeerRequestHandler.of({
       register,
       proposer,
       backup,
-      onYield: () => core?.yielded(),
+      onTakeoverRequest: () => core?.requestTakeover(),
       leave: (leaving, successor) =>
         core?.release(leaving, successor) ?? Promise.resolve('this core has just started'),
       join: (joining) => core?.join(joining) ?? Promise.resolve('this core has just started'),
@@ -213,12 +213,12 @@
       seeds: startup.seeds,
       proposer,
       self,
-      courierTo: (one) => peers.at(one.wire),
-      tend: peers.tend,
-      places: controls,
-      offered: feed.view,
+      clientFor: (one) => peers.clientAt(one.wire),
+      connectTo: peers.connectTo,
+      addresses: controls,
+      offeredView: feed.view,
       quietFor: roll.quietFor,
-      retire: () => Folder.retire(startup.data),
+      markRetired: () => DataFolder.markRetired(startup.data),
       publish(view) {
         if (view.manifest) feed.offer(view);
       },
@@ -268,7 +268,7 @@
         version: Version,
       }),
     });
-    const office = Office.of({ leading: running.leading, proposer });
+    const office = PrimaryGateway.of({ leading: running.leading, proposer });
     const directory: ReadDirectory.Needs = {
       roll,
       knows: () => Instant.since(began) > knowsAfter,
@@ -285,7 +285,7 @@
       budget: () => ({ holder: budget.holder(), pooled: budget.pooled() / 1000 }),
       usage: () => ({ holder: budget.holder(), teams: quotas.usage() }),
       ownHttp: () => http,
-      isReached: (one) => peers.at(one.wire)?.downFor() === 0,
+      isReached: (one) => peers.clientAt(one.wire)?.downFor() === 0,
       operations: ops.app,
       note: ring.info,
     });
@@ -297,7 +297,7 @@
       adapter.list &&
       ListDuty.run({
         source: adapter.list,
-        isHeld: () => (running.confirmedFor() ?? Number.POSITIVE_INFINITY) < confirmedWithin,
+        isHeld: () => (running.confirmationAge() ?? Number.POSITIVE_INFINITY) < confirmedWithin,
         held: () => store.state().platform.servers,
         renew: async (servers) => (await RenewList.run(office, { servers })).status === 200,
         note: ring.info,
@@ -320,7 +320,7 @@
       adapter.reports &&
       ReportDuty.run({
         source: adapter.reports,
-        isHeld: () => (running.confirmedFor() ?? Number.POSITIVE_INFINITY) < confirmedWithin,
+        isHeld: () => (running.confirmationAge() ?? Number.POSITIVE_INFINITY) < confirmedWithin,
         servers: () => {
           const { manifest, platform } = feed.view();
           return platform.servers.filter(({ group }) => manifest?.document.groups[group]?.kind === 'model');
@@ -331,26 +331,26 @@
     return {
       ready: { wire, http },
       drain: () =>
-        Ending.run(ring.info, [
-          { what: 'leaving the cores', within: leaveWithin, end: running.leave },
+        ShutdownStep.runAll(ring.info, [
+          { name: 'leaving the cores', timeout: leaveWithin, run: running.leave },
           {
-            what: 'timers and duties',
-            end: async () => {
+            name: 'timers and duties',
+            run: async () => {
               rosters.stop();
               failures.stop();
               await Promise.all([list?.stop(), lookout?.stop(), reports?.stop()]);
             },
           },
-          { what: 'the core', within: stopWithin, end: running.stop },
-          { what: 'links to the others', end: () => Promise.all([peers.stop(), doorway.close()]) },
+          { name: 'the core', timeout: stopWithin, run: running.stop },
+          { name: 'links to the others', run: () => Promise.all([peers.stop(), doorway.close()]) },
           {
-            what: 'HTTP',
-            end: async () => {
+            name: 'HTTP',
+            run: async () => {
               await Promise.all([server, ...(callers ? [callers] : [])].map(closeServer));
               controlHttp.close();
             },
           },
-          { what: 'the state', end: store.close },
+          { name: 'the state', run: store.close },
         ]),
     };
   },
--- a/src/control/queries/read-manifest.ts
+++ b/src/control/queries/read-manifest.ts
@@ -4,7 +4,7 @@
 import { Revision } from '../../common/revision.js';
 import type { Document } from '../../manifest/document.js';
 import { State } from '../../store/state.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import { Responses } from '../responses.js';
 import type { Rights } from '../rights.js';
 
@@ -17,7 +17,7 @@
 };
 
 export const ReadManifest = {
-  async run(office: Office, query: ReadManifest): Promise<Responses> {
+  async run(office: PrimaryGateway, query: ReadManifest): Promise<Responses> {
     const state = await office.confirm();
     const wanted = query.revision === undefined ? undefined : Revision.parse(query.revision);
     const found =
--- a/src/control/queries/read-status.ts
+++ b/src/control/queries/read-status.ts
@@ -7,7 +7,7 @@
 import type { Primary } from '../../replica/primary.js';
 import type { Frame } from '../../wire/frame.js';
 import type { Core } from '../core.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import type { Responses } from '../responses.js';
 
 export type ReadStatus = { readonly roll: Roll; readonly core: Core };
@@ -56,11 +56,11 @@
 
 export const ReadStatus = {
   /** The members as the primary knows them: a core that is cut off knows few, and says so with a 503. */
-  async nodes(office: Office, { roll }: ReadStatus): Promise<Responses> {
+  async nodes(office: PrimaryGateway, { roll }: ReadStatus): Promise<Responses> {
     await office.confirm();
     return { status: 200, body: { nodes: roll.all().map(describe) } };
   },
-  async run(office: Office, { roll, core }: ReadStatus): Promise<Responses> {
+  async run(office: PrimaryGateway, { roll, core }: ReadStatus): Promise<Responses> {
     const state = await office.confirm();
     const proxies = roll.all().filter((entry) => entry.program === 'proxy');
     const behind = proxies.filter((entry) => Stamp.isNewer(state.stamp, entry.stamp));
--- a/src/control/ending.ts
+++ b/src/control/shutdown-step.ts
@@ -4,22 +4,22 @@
 import { Timer } from '../common/timer.js';
 
 /** One step of the end. */
-export type Ending = {
-  readonly what: string;
+export type ShutdownStep = {
+  readonly name: string;
   /** Milliseconds; a short time without it. */
-  readonly within?: number;
-  readonly end: () => Promise<unknown>;
+  readonly timeout?: number;
+  readonly run: () => Promise<unknown>;
 };
 
 const shortly = 250;
 
-export const Ending = {
+export const ShutdownStep = {
   /** Runs the steps one after the other, none longer than its time. */
-  async run(
+  async runAll(
     note: (text: string, facts?: Record<string, unknown>) => void,
-    steps: readonly Ending[],
+    steps: readonly ShutdownStep[],
   ): Promise<void> {
-    for (const { what, within, end } of steps) {
+    for (const { name: what, timeout: within, run: end } of steps) {
       const late = Timer.sleep(within ?? shortly).then(() => 'took too long');
       const done = end().then(
         () => undefined,
--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -6,7 +6,7 @@
 import { Failure } from '../src/common/failure.js';
 import { Instant } from '../src/common/instant.js';
 import { Stamp } from '../src/common/stamp.js';
-import { Office } from '../src/control/office.js';
+import { PrimaryGateway } from '../src/control/primary-gateway.js';
 import { Responses } from '../src/control/responses.js';
 import { BudgetDuty } from '../src/duty/budget-duty.js';
 import type { QuotaDuty } from '../src/duty/quota-duty.js';
@@ -51,7 +51,7 @@
         return false;
       },
     });
-    const office = Office.of({ leading: () => leading, proposer });
+    const office = PrimaryGateway.of({ leading: () => leading, proposer });
     assert.equal(await readTaken(office.change(refuse, refuse)), 'no');
     assert.equal((await office.change(refuse, refuse)).status, 412);
   });
@@ -65,7 +65,7 @@
         return new Promise(() => {});
       },
     });
-    const office = Office.of({ leading: () => primary, proposer });
+    const office = PrimaryGateway.of({ leading: () => primary, proposer });
     const began = Instant.now();
     assert.equal(await readTaken(office.change(refuse, refuse)), 'no');
     assert.equal(isAsked, true);
--- a/test/asking-to-join.test.ts
+++ b/test/asking-to-join.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { setTimeout as pause } from 'node:timers/promises';
-import { Joining } from '../src/control/life/joining.js';
-import type { Life } from '../src/control/life/life.js';
+import type { CoreContext } from '../src/control/lifecycle/core-context.js';
+import { Joining } from '../src/control/lifecycle/joining.js';
 
 const lifeOf = (onAsk: () => void) => {
   let epoch = 1;
@@ -25,7 +25,7 @@
     },
     known: { term },
     isLeaving: false,
-  } as unknown as Life;
+  } as unknown as CoreContext;
   return {
     life,
     nextEpoch() {
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -81,12 +81,12 @@
     seeds: [],
     proposer,
     self: () => self,
-    courierTo,
-    tend: () => {},
-    places: () => [],
-    offered: () => View.empty,
+    clientFor: courierTo,
+    connectTo: () => {},
+    addresses: () => [],
+    offeredView: () => View.empty,
     quietFor: () => 0,
-    async retire() {
+    async markRetired() {
       isRetired = true;
     },
     publish: () => {},
--- a/test/forming.test.ts
+++ b/test/forming.test.ts
@@ -6,7 +6,7 @@
 import { describe, it } from 'node:test';
 import { Epoch } from '../src/common/epoch.js';
 import { Stamp } from '../src/common/stamp.js';
-import { Forming } from '../src/control/forming.js';
+import { FormationRules } from '../src/control/formation-rules.js';
 import type { Term } from '../src/epoch/term.js';
 import type { Vote } from '../src/epoch/vote.js';
 
@@ -44,22 +44,22 @@
   held: Stamp.none,
 });
 
-const forming = Forming.of({ losses: 1, isInitial: false, seeds: [] });
+const forming = FormationRules.of({ losses: 1, isInitial: false, seeds: [] });
 
 describe('forming anew', () => {
   it('waits for a silent core whose slot a term gives away that its proposer alone may hold', () => {
     const proposed = term([a, b, newcomer], 2);
     const votes = [remembers(a, proposed, 2), blank(emptied), blank(newcomer)];
-    assert.equal(forming.may(votes), false);
+    assert.equal(forming.isAllowed(votes), false);
   });
   it('goes on when the newcomer of that term has lost its disk as well', () => {
     const proposed = term([a, b, newcomer], 2);
     const again = core('another', 'newcomer');
-    assert.equal(forming.may([remembers(a, proposed, 2), blank(emptied), blank(again)]), true);
+    assert.equal(forming.isAllowed([remembers(a, proposed, 2), blank(emptied), blank(again)]), true);
   });
   it('waits for a silent core of the newest term, and goes on when its place answers with another disk', () => {
     const held = term([a, b, c], 2);
-    assert.equal(forming.may([remembers(a, held, 2), blank(emptied), blank(newcomer)]), false);
-    assert.equal(forming.may([remembers(a, held, 2), blank(emptied), blank(core('other', 'c'))]), true);
+    assert.equal(forming.isAllowed([remembers(a, held, 2), blank(emptied), blank(newcomer)]), false);
+    assert.equal(forming.isAllowed([remembers(a, held, 2), blank(emptied), blank(core('other', 'c'))]), true);
   });
 });
--- a/test/leaving-others.test.ts
+++ b/test/leaving-others.test.ts
@@ -2,9 +2,9 @@
 // some are not heard yet, and never where too few can take part.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import type { Joining } from '../src/control/life/joining.js';
-import { Leaving } from '../src/control/life/leaving.js';
-import type { Life } from '../src/control/life/life.js';
+import type { CoreContext } from '../src/control/lifecycle/core-context.js';
+import type { Joining } from '../src/control/lifecycle/joining.js';
+import { Leaving } from '../src/control/lifecycle/leaving.js';
 import type { Term } from '../src/epoch/term.js';
 import type { Vote } from '../src/epoch/vote.js';
 
@@ -48,7 +48,7 @@
     known: { learn: () => undefined, term: () => term },
     look: async () => undefined,
     isLeaving: false,
-  } as unknown as Life;
+  } as unknown as CoreContext;
   const joining = { retire: async () => undefined } as unknown as Joining;
   const began = performance.now();
   await Leaving.of(life, joining).run();
--- a/test/orders.test.ts
+++ b/test/orders.test.ts
@@ -12,7 +12,7 @@
 import { PutManifest } from '../src/control/commands/put-manifest.js';
 import { PutNumbered } from '../src/control/commands/put-numbered.js';
 import { Rollback } from '../src/control/commands/rollback.js';
-import type { Office } from '../src/control/office.js';
+import type { PrimaryGateway } from '../src/control/primary-gateway.js';
 import type { Responses } from '../src/control/responses.js';
 import type { Document } from '../src/manifest/document.js';
 import { View } from '../src/manifest/view.js';
@@ -35,7 +35,7 @@
   state: State = State.empty;
   formed = Epoch.of(1);
   epoch = Epoch.of(1);
-  readonly office: Office = {
+  readonly office: PrimaryGateway = {
     confirm: async () => {
       if (!this.office.isSettled()) throw Failure.of('unconfirmed', 'unsettled', { taken: 'no' });
       return this.state;
--- a/test/peer-client.test.ts
+++ b/test/peer-client.test.ts
@@ -5,7 +5,7 @@
 import { Epoch } from '../src/common/epoch.js';
 import { Listen } from '../src/common/listen.js';
 import { Stamp } from '../src/common/stamp.js';
-import { Desk } from '../src/control/desk.js';
+import { PeerRequestHandler } from '../src/control/peer-request-handler.js';
 import type { Proposer } from '../src/epoch/proposer.js';
 import type { Register } from '../src/epoch/register.js';
 import type { Backup } from '../src/replica/backup.js';
@@ -70,7 +70,7 @@
     const core = { disk: 'd', node: 'n', wire: 'w', http: 'h' };
     const term = { epoch: Epoch.of(4), primary: 'd', inSync: ['d'], cores: [core], formed: Epoch.of(1) };
     let round = 1;
-    const desk = Desk.of({
+    const desk = PeerRequestHandler.of({
       register: {} as Register,
       backup: {} as Backup,
       proposer: {
@@ -86,7 +86,7 @@
           held: Stamp.of(4, round),
         }),
       } as unknown as unknown as Proposer,
-      onYield: () => undefined,
+      onTakeoverRequest: () => undefined,
       join: async () => '',
       note: () => {},
     });
--- a/test/replica-kit.ts
+++ b/test/replica-kit.ts
@@ -11,7 +11,7 @@
 import { Listen } from '../src/common/listen.js';
 import { Mutex } from '../src/common/mutex.js';
 import { Stamp } from '../src/common/stamp.js';
-import { Desk } from '../src/control/desk.js';
+import { PeerRequestHandler } from '../src/control/peer-request-handler.js';
 import { Proposer } from '../src/epoch/proposer.js';
 import { Register } from '../src/epoch/register.js';
 import type { Term } from '../src/epoch/term.js';
@@ -219,11 +219,11 @@
     return { register, store, backup, proposer };
   };
   const serve = async () => {
-    const desk = Desk.of({
+    const desk = PeerRequestHandler.of({
       register: machine.register,
       proposer: machine.proposer,
       backup: machine.backup,
-      onYield: () => undefined,
+      onTakeoverRequest: () => undefined,
       join: async () => '',
       note: () => {},
     });
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -196,7 +196,7 @@
     assert.deepEqual(breaches, []);
   });
   it('starts no process, and reads no wall clock in a decision', () => {
-    const clockReaders = /control\/commands\/|control\/folder\.ts/;
+    const clockReaders = /control\/commands\/|control\/data-folder\.ts/;
     const breaches = [...sources, ...adapter].flatMap((file) => {
       const text = read(file);
       const starts = /child_process|worker_threads|\bcluster\b.*from/.test(text);
--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -8,7 +8,7 @@
 import { after, describe, it } from 'node:test';
 import type { Id } from '../src/common/id.js';
 import { Stamp } from '../src/common/stamp.js';
-import { Folder } from '../src/control/folder.js';
+import { DataFolder } from '../src/control/data-folder.js';
 import { File } from '../src/store/file.js';
 import { Seal } from '../src/store/seal.js';
 import { State } from '../src/store/state.js';
@@ -134,11 +134,11 @@
 
   it('sets a damaged data folder aside and begins blank under a new disk name', async () => {
     const folder = makeFolder();
-    const first = await Folder.open(folder, () => {});
+    const first = await DataFolder.open(folder, () => {});
     for (let revision = 1; revision <= 3; revision += 1)
       await first.store.take({ kind: 'opened', stamp: Stamp.of(1, revision) });
     await first.store.close();
-    const again = await Folder.open(folder, () => {});
+    const again = await DataFolder.open(folder, () => {});
     assert.equal(again.register.disk, first.register.disk);
     assert.deepEqual(again.store.state().stamp, Stamp.of(1, 3));
     await again.store.close();
@@ -147,7 +147,7 @@
     bytes[15]! ^= 1;
     writeFileSync(path, bytes);
     const alerts: string[] = [];
-    const blank = await Folder.open(folder, (text) => alerts.push(text));
+    const blank = await DataFolder.open(folder, (text) => alerts.push(text));
     assert.notEqual(blank.register.disk, first.register.disk);
     assert.equal(blank.register.isBlank(), true);
     assert.deepEqual(blank.store.state().stamp, Stamp.none);
--- a/tools/model/register-steps.ts
+++ b/tools/model/register-steps.ts
@@ -2,7 +2,7 @@
 // gives up, a ballot is promised that nobody counts, and the cores form anew.
 
 import { Epoch } from '../../src/common/epoch.js';
-import { Forming } from '../../src/control/forming.js';
+import { FormationRules } from '../../src/control/formation-rules.js';
 import type { Proposer } from '../../src/epoch/proposer.js';
 import { Term } from '../../src/epoch/term.js';
 import { Acceptor } from './acceptor.js';
@@ -191,16 +191,16 @@
 const mostRemembered = 200_000;
 
 const formings = ({ machines }: World, { bounds, plants }: Setting): readonly Possible[] => {
-  const forming = Forming.of({ losses: bounds.losses, isInitial: false, seeds: [] });
+  const forming = FormationRules.of({ losses: bounds.losses, isInitial: false, seeds: [] });
   const all = machines.map((_machine, index) => index);
   return Proposing.subsets(all).flatMap((voters) => {
-    if (voters.length < forming.size) return [];
+    if (voters.length < forming.clusterSize) return [];
     const votes = voters.map((voter) => voteOf(machines[voter]!, plants.has('formed-over-a-silent-core')));
     const isAnyKept = votes.some((vote) => !vote.isBlank);
-    if ((!isAnyKept && !plants.has('formed-by-empty-cores-alone')) || !forming.may(votes)) return [];
-    const formed = forming.term(votes);
+    if ((!isAnyKept && !plants.has('formed-by-empty-cores-alone')) || !forming.isAllowed(votes)) return [];
+    const formed = forming.buildTerm(votes);
     const cores = formed.cores.map((core) => Disks.core(Disks.codeOf(core.disk)));
-    const first = forming.first(votes);
+    const first = forming.initiatorDisk(votes);
     const proposer = voters.find((voter) => nameOf(machines[voter]!) === first)!;
     return [{ voters, proposer, value: Tables.term({ ...formed, cores }) }];
   });
--- a/tools/plants/plants.ts
+++ b/tools/plants/plants.ts
@@ -168,7 +168,7 @@
   {
     ...common,
     name: 'reads are not confirmed by a majority',
-    file: 'src/control/office.js',
+    file: 'src/control/primary-gateway.js',
     from: 'if (await primary.confirm())',
     to: 'if (true)',
     judge: 'newestIsRead',
--- a/tools/simulation/plant-list.ts
+++ b/tools/simulation/plant-list.ts
@@ -11,17 +11,17 @@
 
 export const Plant = {
   list: [
-    plant('reads without a majority', 'control/office.ts', [
+    plant('reads without a majority', 'control/primary-gateway.ts', [
       'const isConfirmed = await primary.confirm();',
       'const isConfirmed = true;',
     ]),
-    plant('refusals without a majority', 'control/office.ts', [
+    plant('refusals without a majority', 'control/primary-gateway.ts', [
       'await confirm();\n    return refusal;',
       'return refusal;',
     ]),
     plant(
       'an order that may have been taken is told as not taken',
-      'control/office.ts',
+      'control/primary-gateway.ts',
       ["const taken = isBegun ? 'unknown' : 'no';", "const taken = 'no';"],
       ["return unconfirmed(text, isBegun ? 'unknown' : 'no');", "return unconfirmed(text, 'no');"],
     ),
@@ -95,14 +95,14 @@
     ]),
     plant(
       'a core that is not in sync takes over',
-      'control/life/following.ts',
+      'control/lifecycle/following.ts',
       [
         'if (!term || !Term.isInSync(term, register.disk) || !store.isSound() || life.isLeaving) return;',
         'if (!term || life.isLeaving) return;',
       ],
       ['Term.isSame(base, from) && Term.isInSync(base, register.disk)', 'Term.isSame(base, from)'],
     ),
-    plant('forming while a silent core may remember', 'control/forming.ts', [
+    plant('forming while a silent core may remember', 'control/formation-rules.ts', [
       "wire !== '' && !votes.some(",
       'false && !votes.some(',
     ]),
--- a/tools/simulation/program.ts
+++ b/tools/simulation/program.ts
@@ -3,7 +3,7 @@
 import { Hono } from 'hono';
 import { Ticker } from '../../src/common/ticker.js';
 import { PutNumbered } from '../../src/control/commands/put-numbered.js';
-import { Folder } from '../../src/control/folder.js';
+import { DataFolder } from '../../src/control/data-folder.js';
 import { Control } from '../../src/control/program.js';
 import { ReadSource } from '../../src/control/queries/read-source.js';
 import { Responses } from '../../src/control/responses.js';
@@ -62,7 +62,7 @@
     return (await Register.open(await File.open(folder, 'register.log'))).disk;
   },
   async remembers(folder: string): Promise<Program.Memory> {
-    const { register, store } = await Folder.open(folder, () => {});
+    const { register, store } = await DataFolder.open(folder, () => {});
     const state = store.state();
     const notes = new Set(state.manifests.map(({ document }) => document.note ?? ''));
     return {
