--- a/test/asking-to-join.test.ts
+++ b/test/asking-to-join.test.ts
@@ -16,14 +16,14 @@
     },
   };
   const life = {
-    needs: {
+    options: {
       register: { disk: 'disk-9', isBlank: () => true },
-      courierTo: () => courier,
+      clientFor: () => courier,
       self: () => ({ ...core, disk: 'disk-9' }),
       note() {},
       alert() {},
     },
-    known: { term },
+    knownTerm: { term },
     isLeaving: false,
   } as unknown as CoreContext;
   return {
--- a/test/leaving-others.test.ts
+++ b/test/leaving-others.test.ts
@@ -33,10 +33,10 @@
   let releases = 0;
   const notes: string[] = [];
   const life = {
-    needs: {
+    options: {
       register: { disk: own, isBlank: () => false },
       proposer: { votes: async () => [...heardIn(rounds++), { disk: own, isAble: false }].map(voteOf) },
-      courierTo: () => ({
+      clientFor: () => ({
         ask: async () => {
           releases += 1;
           return { kind: 'done', why: '' };
@@ -45,11 +45,11 @@
       self: () => coreOf(own),
       note: (text: string) => void notes.push(text),
     },
-    known: { learn: () => undefined, term: () => term },
-    look: async () => undefined,
+    knownTerm: { learn: () => undefined, term: () => term },
+    collectVotes: async () => undefined,
     isLeaving: false,
   } as unknown as CoreContext;
-  const joining = { retire: async () => undefined } as unknown as Joining;
+  const joining = { retireIfReplaced: async () => undefined } as unknown as Joining;
   const began = performance.now();
   await Leaving.of(life, joining).run();
   return { releases, rounds, took: performance.now() - began, notes };
