--- a/src/control/core.ts
+++ b/src/control/core.ts
@@ -1,7 +1,9 @@
-// A core machine's life: blank, then following, and leading while the register names it. One task looks
-// at the register, the links and the votes, and takes the next step; each change of state goes through
-// the phase. A second task asks the others for their votes all the while, so that a silent one holds up no
-// step. What each state does stands in `life/`; here they are joined.
+/**
+ * The state machine of a core: blank, then following, and leading while the register names it primary. One loop
+ * reads the register, the connections and the votes and takes the next step; each change of state goes through the
+ * state machine. A second loop collects the votes of the other cores, so that a silent core delays no step. The
+ * behaviour of each state is in `lifecycle/`; this module combines them.
+ */
 
 import { Failure } from '../common/failure.js';
 import { Instant } from '../common/instant.js';
@@ -21,54 +23,65 @@
 import { Leading } from './lifecycle/leading.js';
 import { Leaving } from './lifecycle/leaving.js';
 
+/** One core of the control plane: its state among the others, and the requests that change it. */
 export type Core = {
   readonly state: () => Core.State;
+  /** The primary that runs here, while this core leads. */
   readonly leading: () => Primary | undefined;
+  /** The newest term this core knows to be in force. */
   readonly term: () => Term | undefined;
+  /** Gives another core a slot, where this one leads; resolves to the reason if it does not. */
   readonly join: (core: Frame.Core) => Promise<string>;
+  /** Whether another disk got the slot of this core. */
   readonly isRetired: () => boolean;
+  /** Milliseconds since a majority last confirmed this core as primary; undefined unless it leads with a settled state. */
   readonly confirmationAge: () => number | undefined;
-  /** The primary asks this core to take over; returns the reason where it will not. */
+  /** Handles the primary's request to take over; returns the reason if this core declines. */
   readonly requestTakeover: () => string | undefined;
-  /** Releases another core that is about to end, where this one leads. */
+  /** Releases another core that is shutting down, where this one leads; resolves to the reason if it does not. */
   readonly release: (core: Frame.Core, successor: Frame.Core | null) => Promise<string>;
   readonly isLeaving: () => boolean;
-  /** Hands over what this core does before it ends, as far as that goes within a bound. */
+  /** Hands over the role of this core before shutdown, as far as that succeeds within a time limit. */
   readonly leave: () => Promise<void>;
+  /** Runs the next step at once. */
   readonly wake: () => void;
+  /** Forms the cores by an operator's command; resolves to the reason if it was not done, else to an empty string. */
   readonly force: () => Promise<string>;
+  /** Starts the loops. */
   readonly begin: () => void;
-  /** Ends within a bound, whatever the disk and the others do: no change that waits is acknowledged any more. */
+  /** Stops within a time limit even if the disk or the other cores hang; pending changes are no longer acknowledged. */
   readonly stop: () => Promise<void>;
 };
 
+/** Types of a core. */
 export declare namespace Core {
   type State = CoreContext.State;
   type Options = CoreContext.Options;
 }
 
-/** The pause between two steps, and between two rounds of votes at a blank core, in milliseconds. */
-const stepEvery = 150;
-const votesEvery = 700;
-/** How long the end of a core waits for the step and the round of votes under way. */
-const stopWithin = 700;
+/** The time between two steps, and between two rounds of votes at a blank core, in milliseconds. */
+const stepIntervalMs = 150;
+/** The time between two rounds of votes once the core is no longer blank, in milliseconds. */
+const voteIntervalMs = 700;
+/** How long stopping waits for the step and the round of votes in progress, in milliseconds. */
+const stopTimeoutMs = 700;
 
-/** Runs steps until the signal; `wake` of what it returns lets the next one come at once. */
+/** Runs steps in a loop until the signal aborts; the returned `wake` ends the pause before the next step. */
 const runSteps = (step: () => Promise<void>, signal: AbortSignal) => {
-  let rest = new AbortController();
-  const wake = () => rest.abort();
+  let pause = new AbortController();
+  const wake = () => pause.abort();
   signal.addEventListener('abort', wake, { once: true });
   const run = async () => {
     while (!signal.aborted) {
       await step();
-      rest = new AbortController();
-      if (!signal.aborted) await Timer.sleepAligned(stepEvery, rest.signal);
+      pause = new AbortController();
+      if (!signal.aborted) await Timer.sleepAligned(stepIntervalMs, pause.signal);
     }
   };
   return { run, wake };
 };
 
-const phaseOf = (note: CoreContext.Options['note']): StateMachine<CoreContext.State> =>
+const createPhase = (note: CoreContext.Options['note']): StateMachine<CoreContext.State> =>
   StateMachine.of<CoreContext.State>(
     'blank',
     {
@@ -77,99 +90,104 @@
       leading: ['following', 'stopped'],
       stopped: [],
     },
-    (from, to) => note('core changed', { from, to }),
+    (from, to) => note('core state changed', { from, to }),
   );
 
-const confirmedFor = ({ primary }: CoreContext): number | undefined => {
+const confirmationAge = ({ primary }: CoreContext): number | undefined => {
   const isSettled = primary && State.isSettled(primary.state(), primary.term().formed);
   return primary && isSettled && primary.isLeading() ? Instant.since(primary.confirmedAt()) : undefined;
 };
 
-const lifeOf = (needs: Core.Options, wake: () => void, onOther: (term: Term) => void): CoreContext => {
-  const life: CoreContext = {
-    options: needs,
-    phase: phaseOf(needs.note),
-    knownTerm: KnownTerm.of(onOther),
+const createContext = (
+  options: Core.Options,
+  wake: () => void,
+  onTermChange: (term: Term) => void,
+): CoreContext => {
+  const shared: CoreContext = {
+    options,
+    phase: createPhase(options.note),
+    knownTerm: KnownTerm.of(onTermChange),
     votes: [],
     primary: undefined,
     isAskedToTakeOver: false,
     isLeaving: false,
     wake,
     async collectVotes() {
-      life.votes = await needs.proposer.votes();
-      for (const { term, accepted } of life.votes) life.knownTerm.learn(term, accepted ?? Ballot.none);
-      await life.primary?.announce(life.votes);
+      shared.votes = await options.proposer.votes();
+      for (const { term, accepted } of shared.votes) shared.knownTerm.learn(term, accepted ?? Ballot.none);
+      await shared.primary?.announce(shared.votes);
     },
   };
-  return life;
+  return shared;
 };
 
+/** Creates a core. */
 export const Core = {
-  of(needs: Core.Options): Core {
-    const { register, note } = needs;
+  of(options: Core.Options): Core {
+    const { register, note } = options;
     const stop = new AbortController();
     const steps = runSteps(() => step(), stop.signal);
-    const life = lifeOf(needs, steps.wake, (term) => {
-      life.isAskedToTakeOver = false;
+    const shared = createContext(options, steps.wake, (term) => {
+      shared.isAskedToTakeOver = false;
       following.reset();
-      if (term.primary !== register.disk) life.primary?.depose(`deposed by ${Term.text(term)}`);
+      if (term.primary !== register.disk) shared.primary?.depose(`deposed by ${Term.text(term)}`);
     });
-    const { phase, knownTerm: known } = life;
-    const forming = FormationRules.of(needs);
-    const regrouping = ClusterFormation.of(life, forming);
-    const leading = Leading.of(life, forming);
-    const following = Following.of(life, leading);
-    const joining = Joining.of(life);
-    const leaving = Leaving.of(life, joining);
+    const { phase, knownTerm: known } = shared;
+    const rules = FormationRules.of(options);
+    const formation = ClusterFormation.of(shared, rules);
+    const leading = Leading.of(shared, rules);
+    const following = Following.of(shared, leading);
+    const joining = Joining.of(shared);
+    const leaving = Leaving.of(shared, joining);
     known.learn(register.term(), register.accepted());
     register.watch((term) => {
-      life.votes = [];
+      shared.votes = [];
       known.learn(term, register.accepted());
       steps.wake();
     });
-    const survey = async () => {
+    const pollVotes = async () => {
       while (!stop.signal.aborted) {
-        await life.collectVotes().catch((error) => note('no votes came', { why: Failure.text(error) }));
+        await shared.collectVotes().catch((error) => note('vote round failed', { why: Failure.text(error) }));
         steps.wake();
-        await Timer.sleepAligned(phase.is('blank') ? stepEvery : votesEvery, stop.signal);
+        await Timer.sleepAligned(phase.is('blank') ? stepIntervalMs : voteIntervalMs, stop.signal);
       }
     };
-    const take = async () => {
+    const runStep = async () => {
       await joining.retireIfReplaced();
       if (phase.is('blank') && !register.isBlank()) phase.transitionTo('following');
-      needs.connectTo([...(known.term()?.cores.map((core) => core.wire) ?? []), ...needs.addresses()]);
+      options.connectTo([...(known.term()?.cores.map((core) => core.wire) ?? []), ...options.addresses()]);
       if (phase.is('leading')) await leading.step();
-      else if (!(await regrouping.step())) await (phase.is('blank') ? joining.ask() : following.step());
+      else if (!(await formation.step())) await (phase.is('blank') ? joining.ask() : following.step());
     };
     const step = () =>
-      take().catch((error) => note('core step failed', { state: phase.state, why: Failure.text(error) }));
+      runStep().catch((error) => note('core step failed', { state: phase.state, why: Failure.text(error) }));
     let tasks: Promise<unknown> = Promise.resolve();
     return {
       begin() {
-        tasks = Promise.all([survey(), steps.run()]);
+        tasks = Promise.all([pollVotes(), steps.run()]);
       },
       state: () => phase.state,
-      leading: () => (life.primary?.isLeading() ? life.primary : undefined),
-      term: () => life.primary?.term() ?? known.term(),
-      join: async (core) => (life.primary ? life.primary.join(core) : 'this core does not lead'),
-      force: regrouping.force,
+      leading: () => (shared.primary?.isLeading() ? shared.primary : undefined),
+      term: () => shared.primary?.term() ?? known.term(),
+      join: async (core) => (shared.primary ? shared.primary.join(core) : 'this core does not lead'),
+      force: formation.force,
       isRetired: joining.isRetired,
-      confirmationAge: () => confirmedFor(life),
+      confirmationAge: () => confirmationAge(shared),
       requestTakeover() {
-        if (life.isLeaving) return 'this core is about to end';
-        life.isAskedToTakeOver = true;
+        if (shared.isLeaving) return 'this core is shutting down';
+        shared.isAskedToTakeOver = true;
         steps.wake();
         return undefined;
       },
-      release: async (core, successor) => life.primary?.leave(core, successor) ?? 'this core does not lead',
-      isLeaving: () => life.isLeaving,
+      release: async (core, successor) => shared.primary?.leave(core, successor) ?? 'this core does not lead',
+      isLeaving: () => shared.isLeaving,
       leave: leaving.run,
       wake: steps.wake,
       async stop() {
         stop.abort();
-        life.isLeaving = true;
-        life.primary?.depose('this core ends');
-        await Promise.race([tasks, Timer.sleep(stopWithin)]);
+        shared.isLeaving = true;
+        shared.primary?.depose('this core is shutting down');
+        await Promise.race([tasks, Timer.sleep(stopTimeoutMs)]);
         if (!phase.is('stopped')) phase.transitionTo('stopped');
       },
     };
--- a/src/control/data-folder.ts
+++ b/src/control/data-folder.ts
@@ -1,7 +1,9 @@
-// The data folder of a core: the register and the state. When either file is damaged neither can be
-// trusted: both are set aside under a new name and the core begins blank, under a new disk name. So it does
-// at the start after it learned that its slot was given to another disk, for then nobody counts on what it
-// remembers.
+/**
+ * The data folder of a core: the register and the state. When either file is damaged neither can be trusted: both are
+ * moved aside and the core starts blank, with a new disk name. The same happens at the first start after the core
+ * learned that its slot was given to another disk, since no core relies on its data then.
+ */
+
 import { existsSync } from 'node:fs';
 import { mkdir, open as openFile, rename, rm } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -11,11 +13,14 @@
 import type { Seal } from '../store/seal.js';
 import { Store } from '../store/store.js';
 
+/** The opened register and store of a core. */
 export type DataFolder = { readonly register: Register; readonly store: Store };
 
-const retired = 'retired';
+/** The file that marks the folder of a core whose slot was given to another disk. */
+const retiredMarker = 'retired';
 
-const setAside = async (folder: string, why: string): Promise<string> => {
+/** Moves both files into a new subfolder and returns its path. */
+const moveAside = async (folder: string, why: string): Promise<string> => {
   const aside = join(folder, `${why}-${Date.now()}`);
   await mkdir(aside, { recursive: true });
   for (const name of ['register.log', 'state.log'])
@@ -32,23 +37,28 @@
   return { register, store };
 };
 
+/** Opens and retires the data folder. */
 export const DataFolder = {
+  /** Marks the folder, so that the next start moves its files aside. */
   async markRetired(folder: string): Promise<void> {
-    const handle = await openFile(join(folder, retired), 'w');
+    const handle = await openFile(join(folder, retiredMarker), 'w');
     await handle.sync();
     await handle.close();
   },
+  /** Opens the folder, after moving aside files that are retired or damaged. */
   async open(folder: string, alert: Alert, seal?: Seal): Promise<DataFolder> {
-    if (existsSync(join(folder, retired))) {
-      alert('this core was retired; it begins anew as a spare', { aside: await setAside(folder, retired) });
-      await rm(join(folder, retired));
+    if (existsSync(join(folder, retiredMarker))) {
+      alert('this core was retired; starting blank as a spare', {
+        aside: await moveAside(folder, retiredMarker),
+      });
+      await rm(join(folder, retiredMarker));
     }
     try {
       return await open(folder, alert, seal);
     } catch (error) {
       if (!Failure.text(error).startsWith('damaged')) throw error;
-      const aside = await setAside(folder, 'damaged');
-      alert('the data folder is damaged and set aside', { aside, why: Failure.text(error) });
+      const aside = await moveAside(folder, 'damaged');
+      alert('data folder damaged; its files were moved aside', { aside, why: Failure.text(error) });
       return open(folder, alert, seal);
     }
   },
--- a/src/control/formation-rules.ts
+++ b/src/control/formation-rules.ts
@@ -1,7 +1,9 @@
-// When and how cores form anew. They may only where too few can still remember: a core of the newest term
-// that is merely silent may return with its disk and counts as one that remembers; one whose place another
-// disk answers from is lost. Where all are blank they may form, surely at the very first start or when every
-// seed answers; else only after a while, for a silent seed may remember.
+/**
+ * When and how cores form a new cluster. They may only when too few cores can still hold the register: a core of the newest
+ * term that is merely silent may return with its disk and counts as a holder; one whose address answers with another
+ * disk is lost. Where all cores are blank they may form: at once at the very first start or when every seed answers,
+ * else only after a wait, since a silent seed may hold a register.
+ */
 
 import { Epoch } from '../common/epoch.js';
 import { Stamp } from '../common/stamp.js';
@@ -9,11 +11,17 @@
 import { Vote } from '../epoch/vote.js';
 import type { Frame } from '../wire/frame.js';
 
+/** The rules that decide from a round of votes whether and how the cores form. */
 export type FormationRules = {
+  /** How many cores a cluster has. */
   readonly clusterSize: number;
+  /** Whether too few cores can still hold the register, so that forming loses nothing that others hold. */
   readonly isAllowed: (votes: readonly Vote[]) => boolean;
+  /** Whether forming needs no wait for silent seeds. */
   readonly isCertain: (votes: readonly Vote[]) => boolean;
+  /** The disk of the core that is to form first; the others wait for it. */
   readonly initiatorDisk: (votes: readonly Vote[]) => string | undefined;
+  /** The term to propose. */
   readonly buildTerm: (votes: readonly Vote[]) => Term;
 };
 
@@ -21,19 +29,20 @@
 
 const { remembering } = Vote;
 
+/** Creates the rules for a cluster that tolerates `losses` lost cores. */
 export const FormationRules = {
   /**
-   * A listed core whose very disk answers counts as one that remembers, also when it is blank: it is a newcomer that was not
-   * told yet, and the term that lists it may be held by its proposer alone and never be chosen. The core whose
-   * slot it was to take may then be silent and remember.
+   * A listed core that answers with its own disk counts as a holder, even when it is blank: it is a newcomer that has
+   * not received its term yet, and the term that lists it may be held by its proposer alone and never be chosen. The
+   * core whose slot it was to take may then be silent and still hold the register.
    */
-  of(needs: {
+  of(options: {
     readonly losses: number;
     readonly isInitial: boolean;
     readonly seeds: readonly string[];
   }): FormationRules {
-    const size = 2 * needs.losses + 1;
-    const chosen = (votes: Votes): Vote[] =>
+    const size = 2 * options.losses + 1;
+    const selectCores = (votes: Votes): Vote[] =>
       [...votes]
         .sort(
           (a, b) =>
@@ -48,21 +57,22 @@
         if (votes.length < size) return false;
         const newest = Vote.newest(remembering(votes))?.term;
         if (!newest) return true;
-        const isPeer = ({ disk }: Frame.Core) => votes.some((vote) => vote.core.disk === disk);
-        const isAway = ({ disk, wire }: Frame.Core) =>
+        const hasAnswered = ({ disk }: Frame.Core) => votes.some((vote) => vote.core.disk === disk);
+        const isSilent = ({ disk, wire }: Frame.Core) =>
           wire !== '' && !votes.some(({ core }) => core.disk === disk || core.wire === wire);
-        const left = newest.cores.filter((core) => isPeer(core) || isAway(core));
-        const holders = left.filter((core) => Term.isInSync(newest, core.disk));
-        const isLost = left.length < Term.majority(newest) && !holders.some(isAway);
-        return isLost || holders.length === 0;
+        const possibleHolders = newest.cores.filter((core) => hasAnswered(core) || isSilent(core));
+        const inSyncHolders = possibleHolders.filter((core) => Term.isInSync(newest, core.disk));
+        const isMajorityLost =
+          possibleHolders.length < Term.majority(newest) && !inSyncHolders.some(isSilent);
+        return isMajorityLost || inSyncHolders.length === 0;
       },
       isCertain: (votes) =>
-        needs.isInitial ||
+        options.isInitial ||
         remembering(votes).length > 0 ||
-        needs.seeds.every((seed) => votes.some(({ core }) => core.wire === seed)),
-      initiatorDisk: (votes) => chosen(votes)[0]?.core.disk,
+        options.seeds.every((seed) => votes.some(({ core }) => core.wire === seed)),
+      initiatorDisk: (votes) => selectCores(votes)[0]?.core.disk,
       buildTerm(votes) {
-        const best = chosen(votes).sort(
+        const newestHolder = selectCores(votes).sort(
           (a, b) =>
             Number(b.isAble) - Number(a.isAble) ||
             Stamp.compare(b.held, a.held) ||
@@ -70,7 +80,7 @@
         )[0]!;
         const highest = Math.max(...votes.flatMap((vote) => [vote.highest, vote.term?.epoch ?? 0]));
         const epoch = Epoch.after(Epoch.of(highest));
-        const cores = chosen(votes).map((vote) => vote.core);
+        const cores = selectCores(votes).map((vote) => vote.core);
         const missing = Array.from({ length: size - cores.length }, (_none, index) => ({
           disk: `missing-${index + 1}`,
           node: '',
@@ -80,8 +90,8 @@
         return {
           epoch,
           formed: epoch,
-          primary: best.core.disk,
-          inSync: [best.core.disk],
+          primary: newestHolder.core.disk,
+          inSync: [newestHolder.core.disk],
           cores: [...cores, ...missing],
         };
       },
--- a/src/control/lifecycle/cluster-formation.ts
+++ b/src/control/lifecycle/cluster-formation.ts
@@ -1,5 +1,8 @@
-// Forming anew, where too few of the cores can still remember: by themselves, once that is sure and the one
-// whose turn it is had the time, or by an operator's order, who then gives up what only the missing held.
+/**
+ * Forming the cores, where too few of them can still hold the register: automatically, once that is certain and the
+ * initiating core has had its chance, or by an operator's command, which gives up the state that only missing cores
+ * hold.
+ */
 
 import { Instant } from '../../common/instant.js';
 import { Term } from '../../epoch/term.js';
@@ -7,55 +10,58 @@
 import type { FormationRules } from '../formation-rules.js';
 import type { CoreContext } from './core-context.js';
 
+/** How a core forms a new cluster with the others. */
 export type ClusterFormation = {
-  /** Takes the next step of forming where the cores may form; false where they may not. */
+  /** Runs the next step of forming if the cores may form; resolves to false if they may not. */
   readonly step: () => Promise<boolean>;
-  /** Forms by an operator's order; resolves to why it was not done, or to nothing. */
+  /** Forms by an operator's command; resolves to the reason if it was not done, else to an empty string. */
   readonly force: () => Promise<string>;
 };
 
-/** How long a core waits for the one that is to form before it forms itself, in milliseconds. */
-const formAnywayAfter = 1500;
-/** How long all blank cores wait for a silent seed, which may remember. */
-const silentSeedsFor = 4000;
+/** How long a core waits for the initiating core before it forms itself, in milliseconds. */
+const initiatorTimeoutMs = 1500;
+/** How long blank cores wait for a silent seed, which may still hold a register, in milliseconds. */
+const silentSeedWaitMs = 4000;
 
+/** Creates the forming of a core. */
 export const ClusterFormation = {
-  of(life: CoreContext, forming: FormationRules): ClusterFormation {
-    const { register, proposer, losses, alert } = life.options;
+  of(context: CoreContext, rules: FormationRules): ClusterFormation {
+    const { register, proposer, losses, alert } = context.options;
     let formableSince: Instant | undefined;
-    const form = async () => {
+    const tryForm = async () => {
       formableSince ??= Instant.now();
-      const isMine = forming.initiatorDisk(life.votes) === register.disk;
-      const wait = (forming.isCertain(life.votes) ? 0 : silentSeedsFor) + (isMine ? 0 : formAnywayAfter);
+      const isMine = rules.initiatorDisk(context.votes) === register.disk;
+      const wait =
+        (rules.isCertain(context.votes) ? 0 : silentSeedWaitMs) + (isMine ? 0 : initiatorTimeoutMs);
       if (Instant.since(formableSince) < wait) return;
       const formed = await proposer.form(
-        (grants) => (forming.isAllowed(grants) ? forming.buildTerm(grants) : undefined),
-        forming.clusterSize,
+        (grants) => (rules.isAllowed(grants) ? rules.buildTerm(grants) : undefined),
+        rules.clusterSize,
       );
-      if (formed) alert('the cores formed anew', { term: Term.text(formed) });
-      await life.collectVotes();
+      if (formed) alert('the cores formed a new cluster', { term: Term.text(formed) });
+      await context.collectVotes();
     };
     return {
       async step() {
-        if (!forming.isAllowed(life.votes)) {
+        if (!rules.isAllowed(context.votes)) {
           formableSince = undefined;
           return false;
         }
-        await form();
+        await tryForm();
         return true;
       },
       async force() {
-        await life.collectVotes();
-        const { votes } = life;
+        await context.collectVotes();
+        const { votes } = context;
         const least = losses + 1;
         if (votes.length < least) return `fewer than ${least} cores answer`;
-        if (forming.isAllowed(votes)) return 'the cores form by themselves: there is nothing to force';
+        if (rules.isAllowed(votes)) return 'the cores are forming automatically: there is nothing to force';
         const newest = Vote.newest(votes)?.term;
         if (newest && Vote.remembering(votes).length >= Term.majority(newest))
-          return 'a majority remembers: there is nothing to force';
-        const formed = await proposer.form(forming.buildTerm, least);
+          return 'a majority still holds the register: there is nothing to force';
+        const formed = await proposer.form(rules.buildTerm, least);
         if (!formed) return 'the cores did not agree; try again';
-        alert('TOO FEW CORES WERE FORCED TO FORM; what only the missing held is lost', {
+        alert('FORMED BY COMMAND WITHOUT A MAJORITY; state that only missing cores held is lost', {
           term: Term.text(formed),
         });
         return '';
--- a/src/control/lifecycle/following.ts
+++ b/src/control/lifecycle/following.ts
@@ -1,5 +1,7 @@
-// A core that follows: it mends its file after a failed write, and takes over when the primary is lost or
-// asks for it, in the order in which the term lists the cores in sync.
+/**
+ * The following state of a core: it repairs its store after a failed write, and takes over when the primary is lost or
+ * asks for it. The in-sync cores take over in the order in which the term lists them.
+ */
 
 import { Epoch } from '../../common/epoch.js';
 import { Failure } from '../../common/failure.js';
@@ -8,38 +10,40 @@
 import type { CoreContext } from './core-context.js';
 import type { Leading } from './leading.js';
 
+/** What a following core does. */
 export type Following = {
+  /** Repairs the store and takes over, where either is due. */
   readonly step: () => Promise<void>;
-  /** Forgets since when the primary is missed, for another one is known. */
+  /** Forgets since when the primary is lost, because another one is known. */
   readonly reset: () => void;
 };
 
-/** How long the link to the primary is down before the first core in sync takes over, in milliseconds. */
-const takeOverAfter = 600;
-/** How much later than the one before it each further core in sync takes over. */
-const nextAfter = 400;
-/** How often a file that failed is written anew. */
-const mendEvery = 500;
+/** How long the link to the primary is down before the first in-sync core takes over, in milliseconds. */
+const takeoverDelayMs = 600;
+/** How much later each further in-sync core takes over than the one before it, in milliseconds. */
+const takeoverStaggerMs = 400;
+/** How often a file that failed is rewritten, in milliseconds. */
+const repairIntervalMs = 500;
 
-/** How many live cores in sync go before this one, when the primary is lost. */
-const rankIn = ({ options: needs }: CoreContext, term: Term): number =>
-  term.inSync.slice(0, term.inSync.indexOf(needs.register.disk)).filter((disk) => {
+/** How many live in-sync cores take over before this one when the primary is lost. */
+const takeoverRank = ({ options }: CoreContext, term: Term): number =>
+  term.inSync.slice(0, term.inSync.indexOf(options.register.disk)).filter((disk) => {
     const peer = disk === term.primary ? undefined : Term.core(term, disk);
-    return peer !== undefined && needs.clientFor(peer)?.downFor() === 0;
+    return peer !== undefined && options.clientFor(peer)?.downFor() === 0;
   }).length;
 
-const isPrimaryLost = ({ options: needs, isAskedToTakeOver }: CoreContext, term: Term): boolean => {
+const isPrimaryLost = ({ options, isAskedToTakeOver }: CoreContext, term: Term): boolean => {
   const core = Term.core(term, term.primary);
-  const courier = core && needs.clientFor(core);
-  return !core || !courier?.reaches(core) || courier.downFor() > takeOverAfter || isAskedToTakeOver;
+  const client = core && options.clientFor(core);
+  return !core || !client?.reaches(core) || client.downFor() > takeoverDelayMs || isAskedToTakeOver;
 };
 
 /**
- * Takes the primary's place: raises the floor first, so that nothing more is taken from the primary of
- * before, then changes the register, if that still holds the very term that is taken over from.
+ * Takes over from the primary: first raises the epoch floor, so that no more changes are accepted from the previous
+ * primary, then changes the register if it still holds the same term.
  */
-const claim = async (life: CoreContext, from: Term, leading: Leading): Promise<void> => {
-  const { register, store, proposer } = life.options;
+const takeOver = async (context: CoreContext, from: Term, leading: Leading): Promise<void> => {
+  const { register, store, proposer } = context.options;
   register.raise(Epoch.after(from.epoch));
   await store.idle();
   const { isDone, term, ballot } = await proposer.change((base) =>
@@ -47,37 +51,41 @@
       ? Term.next(base, { primary: register.disk })
       : undefined,
   );
-  life.knownTerm.learn(term, ballot);
+  context.knownTerm.learn(term, ballot);
   if (isDone && term) await leading.begin(term, ballot);
 };
 
+/** Creates the following state of a core. */
 export const Following = {
-  of(life: CoreContext, leading: Leading): Following {
-    const { register, store, note } = life.options;
-    let missedSince: Instant | undefined;
-    let mendedAt = Instant.past;
-    const mend = () => {
-      if (store.isSound() || Instant.since(mendedAt) <= mendEvery) return;
-      mendedAt = Instant.now();
+  of(context: CoreContext, leading: Leading): Following {
+    const { register, store, note } = context.options;
+    let primaryLostSince: Instant | undefined;
+    let lastRepairAt = Instant.past;
+    const repair = () => {
+      if (store.isSound() || Instant.since(lastRepairAt) <= repairIntervalMs) return;
+      lastRepairAt = Instant.now();
       void store.mend().catch((error) => note('own disk failure', { why: Failure.text(error) }));
     };
     const isNext = (term: Term): boolean => {
-      missedSince = isPrimaryLost(life, term) ? (missedSince ?? Instant.now()) : undefined;
-      return missedSince !== undefined && Instant.since(missedSince) >= rankIn(life, term) * nextAfter;
+      primaryLostSince = isPrimaryLost(context, term) ? (primaryLostSince ?? Instant.now()) : undefined;
+      return (
+        primaryLostSince !== undefined &&
+        Instant.since(primaryLostSince) >= takeoverRank(context, term) * takeoverStaggerMs
+      );
     };
     return {
       reset() {
-        missedSince = undefined;
+        primaryLostSince = undefined;
       },
       async step() {
-        mend();
-        const term = life.knownTerm.term();
-        if (!term || !Term.isInSync(term, register.disk) || !store.isSound() || life.isLeaving) return;
+        repair();
+        const term = context.knownTerm.term();
+        if (!term || !Term.isInSync(term, register.disk) || !store.isSound() || context.isLeaving) return;
         if (term.primary !== register.disk) {
           if (!isNext(term)) return;
           note('taking over', { from: Term.core(term, term.primary)?.node });
         }
-        await claim(life, term, leading);
+        await takeOver(context, term, leading);
       },
     };
   },
--- a/src/control/lifecycle/joining.ts
+++ b/src/control/lifecycle/joining.ts
@@ -1,56 +1,64 @@
-// A blank core asks the primary for a place; one whose place was given to another disk is told, marks its
-// data folder as retired, and takes no part until it is started again.
+/**
+ * How a blank core asks the primary for a slot. A core whose slot was given to another disk marks its data folder as
+ * retired and takes no part until it is restarted.
+ */
 
 import { Instant } from '../../common/instant.js';
 import { Term } from '../../epoch/term.js';
 import type { CoreContext } from './core-context.js';
 
+/** How a core gets a slot, and learns that it lost one. */
 export type Joining = {
+  /** Asks the primary for a slot, unless the last request was declined too recently. */
   readonly ask: () => Promise<void>;
+  /** Whether the newest known term gives the slot of this core to another disk. */
   readonly isRetired: () => boolean;
+  /** Marks the data folder as retired once a majority confirms that the slot was given to another disk. */
   readonly retireIfReplaced: () => Promise<void>;
 };
 
-/** How long the primary may take to answer a core that asks for a place, in milliseconds. */
-const answerWithin = 3000;
-/** How long a core waits after its first declined request for a place; doubled by each further one, in milliseconds. */
-const firstPause = 200;
-const longestPause = 1600;
+/** How long the primary may take to answer a request for a slot, in milliseconds. */
+const requestTimeoutMs = 3000;
+/** The delay after the first declined request, in milliseconds; doubled by each further one. */
+const firstRetryDelayMs = 200;
+/** The longest delay between two requests, in milliseconds. */
+const maxRetryDelayMs = 1600;
 
+/** Creates the requests of a core for a slot. */
 export const Joining = {
-  of(life: CoreContext): Joining {
-    const { register, proposer, clientFor: courierTo, self, note, alert, ...needs } = life.options;
-    let isTold = false;
+  of(context: CoreContext): Joining {
+    const { register, proposer, clientFor, self, note, alert, ...options } = context.options;
+    let isMarked = false;
     let declined = { epoch: -1, count: 0 };
-    let mayAskAt: Instant = Instant.past;
-    /** The next request waits longer each time, and no longer than the first pause after the term has changed. */
-    const putOff = (epoch: number) => {
+    let retryAt: Instant = Instant.past;
+    /** Delays the next request longer each time, and by the first delay again after the term has changed. */
+    const scheduleRetry = (epoch: number) => {
       declined = { epoch, count: declined.epoch === epoch ? declined.count + 1 : 0 };
-      mayAskAt = Instant.after(Math.min(longestPause, firstPause * 2 ** declined.count));
+      retryAt = Instant.after(Math.min(maxRetryDelayMs, firstRetryDelayMs * 2 ** declined.count));
     };
     const isRetired = () => {
-      const term = life.knownTerm.term();
+      const term = context.knownTerm.term();
       return term !== undefined && !register.isBlank() && !Term.has(term, register.disk);
     };
     return {
       isRetired,
       async ask() {
-        const term = life.knownTerm.term();
+        const term = context.knownTerm.term();
         const core = term && Term.core(term, term.primary);
-        if (!term || !core || Term.has(term, register.disk) || life.isLeaving) return;
-        if (declined.epoch === term.epoch && !Instant.isPast(mayAskAt)) return;
-        const reply = await courierTo(core)?.ask({ kind: 'join', core: self() }, answerWithin);
+        if (!term || !core || Term.has(term, register.disk) || context.isLeaving) return;
+        if (declined.epoch === term.epoch && !Instant.isPast(retryAt)) return;
+        const reply = await clientFor(core)?.ask({ kind: 'join', core: self() }, requestTimeoutMs);
         if (reply?.kind !== 'done') return;
-        putOff(term.epoch);
+        scheduleRetry(term.epoch);
         note('asked to join', { why: reply.why });
       },
       async retireIfReplaced() {
-        if (isTold || !isRetired()) return;
+        if (isMarked || !isRetired()) return;
         const term = await proposer.read();
         if (!term || Term.has(term, register.disk)) return;
-        isTold = true;
-        await needs.markRetired();
-        alert('this core’s slot was given to another disk; it takes no part until it is started again');
+        isMarked = true;
+        await options.markRetired();
+        alert('this core’s slot was given to another disk; it takes no part until it is restarted');
       },
     };
   },
--- a/src/control/lifecycle/leading.ts
+++ b/src/control/lifecycle/leading.ts
@@ -1,5 +1,7 @@
-// A core that leads: it opens its term with a first change, keeps the cores in sync, and after a forming
-// takes the newest state that nodes hold, once they have had the time to offer it.
+/**
+ * The leading state of a core: it opens its term with a first change, keeps the other cores in sync, and after a forming
+ * adopts the newest state that any node holds, once the nodes have had time to offer it.
+ */
 
 import { Instant } from '../../common/instant.js';
 import { Revision } from '../../common/revision.js';
@@ -12,42 +14,51 @@
 import type { FormationRules } from '../formation-rules.js';
 import type { CoreContext } from './core-context.js';
 
+/** What a leading core does. */
 export type Leading = {
-  /** Begins to lead under a term that names this core primary and is chosen. */
+  /** Starts to lead under a chosen term that names this core as primary. */
   readonly begin: (term: Term, ballot: Ballot) => Promise<void>;
+  /** Maintains the in-sync cores, and settles the state after a forming. */
   readonly step: () => Promise<void>;
 };
 
-/** How long one step waits for the upkeep of the cores in sync, which goes on beside it. */
-const stepFor = 150;
-/** How long nodes have to offer what they hold after a forming, in milliseconds. */
-const gatherFor = { least: 1200, quiet: 600, most: 2500 } as const;
+/** How long one step waits for the maintenance of the in-sync cores, which continues in the background, in milliseconds. */
+const maintenanceWaitMs = 150;
+/**
+ * How long nodes have to offer their state after a forming, in milliseconds: at least `least`, then until no node has
+ * joined for `quiet`, and at most `most`.
+ */
+const offerWindowMs = { least: 1200, quiet: 600, most: 2500 } as const;
 
-/** Whether the cores form for the very first time, when no node can hold anything. */
-const isFirstStart = (needs: CoreContext['options'], leader: Primary): boolean =>
-  needs.isInitial && leader.state().formed === 0;
+/** Whether this is the very first forming, when no node can hold a state. */
+const isFirstStart = (options: CoreContext['options'], primary: Primary): boolean =>
+  options.isInitial && primary.state().formed === 0;
 
-/** Whether the nodes had the time to offer the newest state that they hold. */
-const isGathered = ({ options: needs }: CoreContext, leader: Primary, ledSince: Instant): boolean => {
-  if (isFirstStart(needs, leader)) return true;
-  const ledFor = Instant.since(ledSince);
-  return ledFor > gatherFor.most || (ledFor > gatherFor.least && needs.quietFor() > gatherFor.quiet);
+/** Whether the nodes have had time to offer the newest state that they hold. */
+const isOfferWindowOver = ({ options }: CoreContext, primary: Primary, leadingSince: Instant): boolean => {
+  if (isFirstStart(options, primary)) return true;
+  const leadingFor = Instant.since(leadingSince);
+  return (
+    leadingFor > offerWindowMs.most ||
+    (leadingFor > offerWindowMs.least && options.quietFor() > offerWindowMs.quiet)
+  );
 };
 
-const settle = async (life: CoreContext, leader: Primary, ledSince: Instant): Promise<void> => {
-  const { options: needs } = life;
-  const offered = needs.offeredView();
-  const { formed } = leader.term();
-  const isLate = Stamp.isNewer(offered.stamp, leader.state().stamp);
-  const isUnsettled = leader.state().formed !== formed;
-  if ((!isUnsettled && !isLate) || !isGathered(life, leader, ledSince)) return;
-  needs.alert('taking the newest state that nodes hold', {
+/** Adopts the newest offered state, or settles the own one if nothing newer was offered. */
+const settle = async (context: CoreContext, primary: Primary, leadingSince: Instant): Promise<void> => {
+  const { options } = context;
+  const offered = options.offeredView();
+  const { formed } = primary.term();
+  const isOfferNewer = Stamp.isNewer(offered.stamp, primary.state().stamp);
+  const isUnsettled = primary.state().formed !== formed;
+  if ((!isUnsettled && !isOfferNewer) || !isOfferWindowOver(context, primary, leadingSince)) return;
+  options.alert('settling on the newest state that nodes hold', {
     offered: Stamp.text(offered.stamp),
-    held: Stamp.text(leader.state().stamp),
+    held: Stamp.text(primary.state().stamp),
   });
-  const isFirst = isFirstStart(needs, leader);
-  if (isLate) await leader.raiseEpoch(offered.stamp);
-  await leader.commit((_state, { epoch, revision }) => ({
+  const isFirst = isFirstStart(options, primary);
+  if (isOfferNewer) await primary.raiseEpoch(offered.stamp);
+  await primary.commit((_state, { epoch, revision }) => ({
     kind: 'settled',
     formed,
     view: offered,
@@ -56,52 +67,53 @@
   }));
 };
 
-const primaryOf = ({ options: needs }: CoreContext, term: Term, ballot: Ballot): Primary =>
+const createPrimary = ({ options }: CoreContext, term: Term, ballot: Ballot): Primary =>
   Primary.of({
-    disk: needs.register.disk,
+    disk: options.register.disk,
     term,
     ballot,
-    losses: needs.losses,
-    store: needs.store,
-    proposer: needs.proposer,
-    courierTo: needs.clientFor,
-    note: needs.note,
-    ...(needs.transfers ? { meter: needs.transfers } : {}),
+    losses: options.losses,
+    store: options.store,
+    proposer: options.proposer,
+    courierTo: options.clientFor,
+    note: options.note,
+    ...(options.transfers ? { meter: options.transfers } : {}),
     publish(state, under) {
-      if (State.isSettled(state, under.formed)) needs.publish(State.view(state));
+      if (State.isSettled(state, under.formed)) options.publish(State.view(state));
     },
   });
 
+/** Creates the leading state of a core. */
 export const Leading = {
-  of(life: CoreContext, forming: FormationRules): Leading {
-    const { options: needs, phase } = life;
-    let ledSince = Instant.now();
-    let upkeep: Promise<void> | undefined;
+  of(context: CoreContext, rules: FormationRules): Leading {
+    const { options, phase } = context;
+    let leadingSince = Instant.now();
+    let maintenance: Promise<void> | undefined;
     return {
       async begin(term, ballot) {
-        if (life.isLeaving) return;
+        if (context.isLeaving) return;
         phase.transitionTo('leading');
-        ledSince = Instant.now();
-        needs.note('leading', { term: Term.text(term) });
-        const mine = primaryOf(life, term, ballot);
-        life.primary = mine;
-        void mine.deposed.then((why) => {
-          needs.note('deposed', { why });
-          if (life.primary === mine) life.primary = undefined;
+        leadingSince = Instant.now();
+        options.note('leading', { term: Term.text(term) });
+        const primary = createPrimary(context, term, ballot);
+        context.primary = primary;
+        void primary.deposed.then((why) => {
+          options.note('deposed', { why });
+          if (context.primary === primary) context.primary = undefined;
           if (phase.is('leading')) phase.transitionTo('following');
-          life.wake();
+          context.wake();
         });
-        await mine.commit((_state, stamp) => ({ kind: 'opened', stamp }));
+        await primary.commit((_state, stamp) => ({ kind: 'opened', stamp }));
       },
       async step() {
-        const mine = life.primary;
-        if (!mine) return;
-        if (forming.isAllowed(life.votes)) return mine.depose('too few of the cores remember');
-        upkeep ??= mine.maintain().finally(() => {
-          upkeep = undefined;
+        const primary = context.primary;
+        if (!primary) return;
+        if (rules.isAllowed(context.votes)) return primary.depose('too few cores still hold the register');
+        maintenance ??= primary.maintain().finally(() => {
+          maintenance = undefined;
         });
-        await Promise.race([upkeep, Timer.sleepAligned(stepFor)]);
-        await settle(life, mine, ledSince);
+        await Promise.race([maintenance, Timer.sleepAligned(maintenanceWaitMs)]);
+        await settle(context, primary, leadingSince);
       },
     };
   },
--- a/src/control/lifecycle/leaving.ts
+++ b/src/control/lifecycle/leaving.ts
@@ -1,8 +1,10 @@
-// A core that is about to end hands over what it does: leadership goes to a backup, its place in sync to another core
-// that takes the state first, and its slot to a newcomer if one waits. So no acknowledged change is on fewer disks
-// than before when the process is gone. All of it is bounded, and where too few others are able nothing is tried: the
-// process ends, and what it holds comes back with its disk. Others that are silent are waited for a while, since one
-// that was just started again is linked only after that.
+/**
+ * The release of a core that is shutting down: leadership goes to a backup, its in-sync membership to another core that
+ * catches up first, and its slot to a newcomer if one waits, so that no acknowledged change is on fewer disks than before
+ * when the process exits. All of it is bounded in time. Where too few other cores are able, nothing is attempted: the
+ * process exits, and its data returns with its disk. Silent cores are waited for a while, since a core that has just
+ * restarted needs a moment to reconnect.
+ */
 
 import { Failure } from '../../common/failure.js';
 import { Instant } from '../../common/instant.js';
@@ -14,26 +16,27 @@
 import type { CoreContext } from './core-context.js';
 import type { Joining } from './joining.js';
 
+/** The release of a core before shutdown. */
 export type Leaving = {
-  /** Resolves once this core is released, or when the time is over. */
+  /** Resolves once this core is released, or when the time limit is reached. */
   readonly run: () => Promise<void>;
 };
 
-/** How long leaving may take, in milliseconds. */
-const leaveWithin = 2500;
-/** How long one round of votes may take: longer than a silent core holds one up. */
-const votesWithin = 1100;
-/** How long others that are silent or blank are waited for, in milliseconds. */
-const othersWithin = 800;
-/** How soon it is tried again, in milliseconds. */
-const againAfter = 50;
+/** The time limit of the whole release, in milliseconds. */
+const leaveTimeoutMs = 2500;
+/** How long one round of votes may take, in milliseconds: longer than a silent core delays it. */
+const votesTimeoutMs = 1100;
+/** How long silent or blank cores are waited for, in milliseconds. */
+const othersTimeoutMs = 800;
+/** The pause between two attempts, in milliseconds. */
+const retryDelayMs = 50;
 
-type Others = 'able' | 'awaited' | 'too few';
+type OthersReadiness = 'able' | 'awaited' | 'too few';
 
-/** Whether a majority of the cores can go on without this one, now or once those that are silent or blank take part. */
-const othersOf = ({ options: needs }: CoreContext, votes: readonly Vote[], term: Term): Others => {
+/** Whether a majority of the cores can continue without this one, now or once the silent and blank ones take part. */
+const othersReadiness = ({ options }: CoreContext, votes: readonly Vote[], term: Term): OthersReadiness => {
   const others = term.cores
-    .filter(({ disk }) => disk !== needs.register.disk)
+    .filter(({ disk }) => disk !== options.register.disk)
     .map(({ disk }) => votes.find(({ core }) => core.disk === disk));
   const able = others.filter((vote) => vote?.isAble && !vote.isBlank);
   const staying = others.filter((vote) => vote?.isAble !== false);
@@ -42,59 +45,60 @@
 };
 
 const askForRelease = async (
-  { options: needs }: CoreContext,
+  { options }: CoreContext,
   term: Term,
   successor: Frame.Core | undefined,
   within: number,
 ): Promise<string> => {
   const primary = Term.core(term, term.primary);
-  if (!primary || primary.disk === needs.register.disk) return 'no other core leads yet';
-  const courier = needs.clientFor(primary);
-  const request = { kind: 'leave', core: needs.self(), successor: successor ?? null } as const;
-  const reply = await courier?.ask(request, within);
+  if (!primary || primary.disk === options.register.disk) return 'no other core leads yet';
+  const client = options.clientFor(primary);
+  const request = { kind: 'leave', core: options.self(), successor: successor ?? null } as const;
+  const reply = await client?.ask(request, within);
   return reply?.kind === 'done' ? reply.why : 'the primary does not answer';
 };
 
+/** Creates the release of a core. */
 export const Leaving = {
-  of(life: CoreContext, joining: Joining): Leaving {
-    const { register, proposer, note } = life.options;
+  of(context: CoreContext, joining: Joining): Leaving {
+    const { register, proposer, note } = context.options;
     let successor: Frame.Core | undefined;
-    /** One attempt; resolves with the reason why this core is not released yet, or with nothing. */
+    /** One attempt; resolves to the reason why this core is not released yet, or to an empty string. */
     const attempt = async (until: Instant, othersUntil: Instant): Promise<string> => {
-      const late = Timer.sleep(votesWithin).then(() => undefined);
-      const votes = await Promise.race([proposer.votes(), late]);
-      if (!votes) return 'the others are slow';
-      for (const { term, accepted } of votes) life.knownTerm.learn(term, accepted ?? Ballot.none);
-      const term = life.knownTerm.term();
+      const expired = Timer.sleep(votesTimeoutMs).then(() => undefined);
+      const votes = await Promise.race([proposer.votes(), expired]);
+      if (!votes) return 'the votes of the other cores are late';
+      for (const { term, accepted } of votes) context.knownTerm.learn(term, accepted ?? Ballot.none);
+      const term = context.knownTerm.term();
       if (!term || register.isBlank() || !Term.has(term, register.disk)) return '';
-      const others = othersOf(life, votes, term);
-      if (others === 'awaited' && !Instant.isPast(othersUntil)) return 'others are silent';
+      const others = othersReadiness(context, votes, term);
+      if (others === 'awaited' && !Instant.isPast(othersUntil)) return 'other cores are silent or blank';
       if (others !== 'able') {
         note('ends without a release', { why: 'too few other cores are able' });
         return '';
       }
-      if (life.primary) {
-        successor = life.primary.joiningCore() ?? successor;
-        return (await life.primary.transferLeadership()) || 'leadership is handed over';
+      if (context.primary) {
+        successor = context.primary.joiningCore() ?? successor;
+        return (await context.primary.transferLeadership()) || 'leadership is handed over';
       }
-      return askForRelease(life, term, successor, Instant.remaining(until));
+      return askForRelease(context, term, successor, Instant.remaining(until));
     };
     const release = async () => {
-      const until = Instant.after(leaveWithin);
-      const othersUntil = Instant.after(othersWithin);
+      const until = Instant.after(leaveTimeoutMs);
+      const othersUntil = Instant.after(othersTimeoutMs);
       while (!Instant.isPast(until)) {
         const why = await attempt(until, othersUntil).catch(Failure.text);
         if (why === '') break;
         note('not released yet', { why });
-        await Timer.sleep(againAfter);
+        await Timer.sleep(retryDelayMs);
       }
-      await life.collectVotes();
+      await context.collectVotes();
       await joining.retireIfReplaced();
     };
     return {
       async run() {
-        life.isLeaving = true;
-        await Promise.race([release().catch(() => undefined), Timer.sleep(leaveWithin)]);
+        context.isLeaving = true;
+        await Promise.race([release().catch(() => undefined), Timer.sleep(leaveTimeoutMs)]);
       },
     };
   },
--- a/src/control/peer-request-handler.ts
+++ b/src/control/peer-request-handler.ts
@@ -1,6 +1,9 @@
-// The core desk answers what other cores ask over their couriers: votes on the register, changes to
-// keep as backup, a primary that yields, an empty core that asks to join. Each request is answered on
-// its own, so that a slow disk holds up no vote it need not.
+/**
+ * Handles the requests of other cores: votes on the register, changes to store as a backup, a primary that asks this
+ * core to take over, a core that leaves, a blank core that asks to join. Each request is handled independently, so that
+ * a slow disk delays no vote that does not need it.
+ */
+
 import { createHash } from 'node:crypto';
 import { match } from 'ts-pattern';
 import { Failure } from '../common/failure.js';
@@ -11,55 +14,60 @@
 import type { Link } from '../wire/link.js';
 import { Protocol } from '../wire/protocol.js';
 
+/** Serves the requests that arrive over a link from another core. */
 export type PeerRequestHandler = {
   readonly serve: (link: Link, frames: AsyncGenerator<Frame, void, void>) => Promise<void>;
 };
 
+/** What a handler is made of. */
 export declare namespace PeerRequestHandler {
   type Options = {
     readonly register: Register;
     readonly proposer: Proposer;
     readonly backup: Backup;
-    /** The primary asks this core to take over; returns the reason where it will not. */
+    /** Handles the primary's request to take over; returns the reason if this core declines. */
     readonly onTakeoverRequest: () => string | undefined;
-    /** A core that is about to end asks for its release; resolves with the reason where it can't be released. */
+    /** Releases a core that is shutting down; resolves to the reason if it can't be released, else to an empty string. */
     readonly leave?: (core: Frame.Core, successor: Frame.Core | null) => Promise<string>;
+    /** Gives a blank core a slot; resolves to the reason if it does not, else to an empty string. */
     readonly join: (core: Frame.Core) => Promise<string>;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   };
 }
 
-const untold = {
+/** The fields left out of a reply whose digest the asking core already knows. */
+const omittedFields = {
   promised: null,
   accepted: null,
   term: null,
   core: { disk: '', node: '', wire: '', http: '' },
 };
 
-const done = (serial: number, why: string): Frame.Reply => ({
+const doneReply = (serial: number, why: string): Frame.Reply => ({
   kind: 'done',
   serial,
   isDone: why === '',
   why,
 });
 
+/** Creates the handler of a core. */
 export const PeerRequestHandler = {
-  of(needs: PeerRequestHandler.Options): PeerRequestHandler {
-    const { register, proposer } = needs;
-    const vote = (serial: number, isGranted: boolean): Frame.Reply => ({
+  of(options: PeerRequestHandler.Options): PeerRequestHandler {
+    const { register, proposer } = options;
+    const voteReply = (serial: number, isGranted: boolean): Frame.Reply => ({
       kind: 'vote',
       serial,
       ...proposer.vote(isGranted),
       protocol: Protocol.newest,
     });
-    let written = { text: '', digest: '' };
+    let lastDigest = { text: '', digest: '' };
     const digestOf = ({ promised, accepted, term, core }: Proposer.Vote): string => {
       const text = JSON.stringify([promised, accepted, term, core]);
-      if (text !== written.text)
-        written = { text, digest: createHash('sha256').update(text).digest('base64').slice(0, 16) };
-      return written.digest;
+      if (text !== lastDigest.text)
+        lastDigest = { text, digest: createHash('sha256').update(text).digest('base64').slice(0, 16) };
+      return lastDigest.digest;
     };
-    const peeked = (serial: number, known: string | undefined): Frame.Reply => {
+    const peekReply = (serial: number, known: string | undefined): Frame.Reply => {
       const whole = { ...proposer.vote(true), protocol: Protocol.newest };
       const digest = digestOf(whole);
       if (known !== digest) return { kind: 'vote', serial, ...whole, digest };
@@ -75,37 +83,37 @@
         protocol,
         digest,
         isSame: true,
-        ...untold,
+        ...omittedFields,
       };
     };
-    const response = (frame: Frame): Promise<Frame.Reply> =>
+    const replyTo = (frame: Frame): Promise<Frame.Reply> =>
       match(frame)
-        .with({ kind: 'peek' }, async ({ serial, known }) => peeked(serial, known))
+        .with({ kind: 'peek' }, async ({ serial, known }) => peekReply(serial, known))
         .with({ kind: 'prepare' }, async ({ serial, ballot, isForming }) =>
-          vote(serial, await register.prepare(ballot, isForming)),
+          voteReply(serial, await register.prepare(ballot, isForming)),
         )
         .with({ kind: 'accept' }, async ({ serial, ballot, term, isChosen }) =>
-          vote(serial, await register.accept(ballot, term, isChosen)),
+          voteReply(serial, await register.accept(ballot, term, isChosen)),
         )
-        .with({ kind: 'append' }, (append) => needs.backup.handleAppend(append))
-        .with({ kind: 'offer' }, (offer) => needs.backup.handleOffer(offer))
-        .with({ kind: 'piece' }, (piece) => needs.backup.handlePiece(piece))
+        .with({ kind: 'append' }, (append) => options.backup.handleAppend(append))
+        .with({ kind: 'offer' }, (offer) => options.backup.handleOffer(offer))
+        .with({ kind: 'piece' }, (piece) => options.backup.handlePiece(piece))
         .with({ kind: 'yield' }, async ({ serial }) => {
-          return done(serial, needs.onTakeoverRequest() ?? '');
+          return doneReply(serial, options.onTakeoverRequest() ?? '');
         })
         .with({ kind: 'leave' }, async ({ serial, core, successor }) =>
-          done(serial, (await needs.leave?.(core, successor)) ?? 'this core releases none'),
+          doneReply(serial, (await options.leave?.(core, successor)) ?? 'this core releases no others'),
         )
-        .with({ kind: 'join' }, async ({ serial, core }) => done(serial, await needs.join(core)))
-        .otherwise(({ kind }) => Promise.reject(Failure.of('frame', `unexpected ${kind} at the core desk`)));
+        .with({ kind: 'join' }, async ({ serial, core }) => doneReply(serial, await options.join(core)))
+        .otherwise(({ kind }) => Promise.reject(Failure.of('frame', `unexpected ${kind} from a core`)));
     return {
       async serve(link, frames) {
         for await (const frame of frames) {
           if (frame.kind === 'ping') continue;
-          response(frame).then(
+          replyTo(frame).then(
             (reply) => void link.send(reply),
             (error) => {
-              needs.note('core request failed', { kind: frame.kind, why: Failure.text(error) });
+              options.note('core request failed', { kind: frame.kind, why: Failure.text(error) });
               if (Failure.is(error, 'frame')) link.close();
             },
           );
--- a/src/control/peers.ts
+++ b/src/control/peers.ts
@@ -1,6 +1,9 @@
-// The other cores this one keeps in touch with: for each address a courier for requests and an uplink
-// for news and the roll. Addresses come from the seeds, from the newest term, and from the peers themselves:
-// a seed may know a core that is no seed.
+/**
+ * The connections to the other cores: for each address a client for requests and an uplink for news and the roll.
+ * Addresses come from the seeds, from the newest term, and from the peers themselves, since a seed may know a core
+ * that is not a seed.
+ */
+
 import { Address } from '../common/address.js';
 import type { Roll } from '../membership/roll.js';
 import { Uplink } from '../membership/uplink.js';
@@ -9,16 +12,23 @@
 import type { Frame } from '../wire/frame.js';
 import { PeerClient } from '../wire/peer-client.js';
 
+/** The connections of a core to the other cores. */
 export type Peers = {
-  readonly connectTo: (places: readonly string[]) => void;
+  /** Connects to these addresses, the seeds and those that peers named; closes all other connections. */
+  readonly connectTo: (addresses: readonly string[]) => void;
+  /** The clients of all connections. */
   readonly clients: () => readonly PeerClient[];
-  readonly clientAt: (place: string) => PeerClient | undefined;
+  /** The client of one address. */
+  readonly clientAt: (address: string) => PeerClient | undefined;
+  /** Sends a frame over the uplink to a node; false if there is none. */
   readonly sendUp: (node: string, body: Frame.Body) => boolean;
+  /** Closes all connections. */
   readonly stop: () => Promise<void>;
 };
 
+/** Creates the connections of a core. */
 export const Peers = {
-  of(needs: {
+  of(options: {
     readonly seeds: readonly string[];
     readonly ownAddress: () => string;
     readonly feed: Feed;
@@ -32,58 +42,60 @@
     readonly onConnect: () => void;
     readonly note: (text: string, facts?: Record<string, unknown>) => void;
   }): Peers {
-    const { feed, roll } = needs;
-    const held = new Map<string, { courier: PeerClient; uplink: Uplink }>();
-    const heard = new Map<string, readonly string[]>();
+    const { feed, roll } = options;
+    const connections = new Map<string, { client: PeerClient; uplink: Uplink }>();
+    const learnedAddresses = new Map<string, readonly string[]>();
     const hello = () => ({ kind: 'hello', self: roll.self(), version: Version, aim: 'core' }) as const;
-    const end = async ({ courier, uplink }: { courier: PeerClient; uplink: Uplink }) => {
+    const close = async ({ client, uplink }: { client: PeerClient; uplink: Uplink }) => {
       uplink.stop();
-      await Promise.all([courier.stop(), uplink.done]);
+      await Promise.all([client.stop(), uplink.done]);
     };
     return {
       sendUp: (node, body) =>
-        [...held.values()].some(({ uplink }) => uplink.parent() === node && uplink.send(body)),
-      clientAt: (place) => held.get(place)?.courier,
-      clients: () => [...held.values()].map(({ courier }) => courier),
-      connectTo(places) {
-        const known = [...needs.seeds, ...places, ...[...heard.values()].flat()];
-        const wanted = new Set(known.filter((place) => place !== needs.ownAddress() && Address.parse(place)));
-        for (const [place, peer] of held)
-          if (!wanted.has(place)) {
-            held.delete(place);
-            heard.delete(place);
-            void end(peer);
+        [...connections.values()].some(({ uplink }) => uplink.parent() === node && uplink.send(body)),
+      clientAt: (address) => connections.get(address)?.client,
+      clients: () => [...connections.values()].map(({ client }) => client),
+      connectTo(addresses) {
+        const known = [...options.seeds, ...addresses, ...[...learnedAddresses.values()].flat()];
+        const wanted = new Set(
+          known.filter((address) => address !== options.ownAddress() && Address.parse(address)),
+        );
+        for (const [address, peer] of connections)
+          if (!wanted.has(address)) {
+            connections.delete(address);
+            learnedAddresses.delete(address);
+            void close(peer);
           }
-        for (const place of wanted)
-          if (!held.has(place))
-            held.set(place, {
-              courier: PeerClient.start({
-                address: place,
+        for (const address of wanted)
+          if (!connections.has(address))
+            connections.set(address, {
+              client: PeerClient.start({
+                address,
                 stamp: feed.stamp,
-                age: needs.age,
+                age: options.age,
                 hello,
-                onConnect: needs.onConnect,
+                onConnect: options.onConnect,
               }),
               uplink: Uplink.run({
                 feed,
                 roll,
-                seeds: [place],
+                seeds: [address],
                 version: Version,
                 isFixed: true,
                 isUpward: true,
-                onPeers: (peers) => void heard.set(place, peers),
-                onTokens: needs.onTokens,
-                onLoads: needs.onLoads,
-                onLeaving: needs.onLeaving,
-                onFailures: needs.onFailures,
-                onCold: needs.onCold,
-                note: needs.note,
+                onPeers: (peers) => void learnedAddresses.set(address, peers),
+                onTokens: options.onTokens,
+                onLoads: options.onLoads,
+                onLeaving: options.onLeaving,
+                onFailures: options.onFailures,
+                onCold: options.onCold,
+                note: options.note,
               }),
             });
       },
       async stop() {
-        await Promise.all([...held.values()].map(end));
-        held.clear();
+        await Promise.all([...connections.values()].map(close));
+        connections.clear();
       },
     };
   },
--- a/src/control/primary-gateway.ts
+++ b/src/control/primary-gateway.ts
@@ -1,8 +1,10 @@
-// What commands and queries share: the acting primary, confirmation by a majority, and the bound in
-// which an answer goes out. An answer that can't be confirmed is a 503 that says whether the change may
-// have been taken. A primary that has been out of touch with a majority for a while answers so at once, and an
-// answer is confirmed by the very primary whose state it was made from: a core that lost its place and has it
-// again meanwhile says nothing of what it knew before.
+/**
+ * Access to the acting primary for commands and queries: confirmation by a majority, and the time limit for a
+ * response. A response that cannot be confirmed is a 503 that says whether the change may have been applied. A primary
+ * that has had no contact with a majority for a while responds so at once. A response is confirmed by the same primary
+ * object whose state it was made from: a core that lost its term and leads again meanwhile must not answer from what
+ * it knew before.
+ */
 
 import { Failure } from '../common/failure.js';
 import { Instant } from '../common/instant.js';
@@ -13,69 +15,74 @@
 import { State } from '../store/state.js';
 import type { Responses } from './responses.js';
 
-/** The acting primary's place for commands and queries. */
+/** What commands and queries may do with the acting primary. */
 export type PrimaryGateway = {
-  /** The newest acknowledged state, once a majority has confirmed that nobody else leads. */
+  /** Resolves to the newest acknowledged state once a majority has confirmed that no other core leads. */
   readonly confirm: () => Promise<State>;
+  /** Whether the state is settled after the last forming of the cores. */
   readonly isSettled: () => boolean;
-  /** Makes a change, or a refusal, which goes out only once a majority has confirmed the state it is made from. */
+  /** Commits a change, or returns a refusal only once a majority has confirmed the state it was made from. */
   readonly change: (
     make: (state: State, stamp: Stamp) => State.Change | Responses,
-    tell: (state: State, change: State.Change) => Responses,
+    respond: (state: State, change: State.Change) => Responses,
   ) => Promise<Responses>;
 };
 
+/** What a gateway is made of. */
 export declare namespace PrimaryGateway {
   type Options = { readonly leading: () => Primary | undefined; readonly proposer: Proposer };
 }
 
-/** How long an order may wait for its acknowledgement, in milliseconds. */
-const responseWithin = 5000;
-const lookAgainFor = 1500;
-const lookAgainEvery = 50;
-/** How old the last confirmation by a majority may be before answers go out without waiting for another. */
-const outOfTouchAfter = 1500;
-const touchEvery = 100;
+/** How long a change or a read may wait for its confirmation, in milliseconds. */
+const responseTimeoutMs = 5000;
+/** How long a confirmation that failed is retried, in milliseconds. */
+const confirmRetryForMs = 1500;
+/** The pause between two confirmation attempts, in milliseconds. */
+const confirmRetryIntervalMs = 50;
+/** How old the last confirmation by a majority may be before requests fail at once instead of waiting, in milliseconds. */
+const maxContactAgeMs = 1500;
+/** How often a waiting request checks for contact with a majority, in milliseconds. */
+const contactCheckIntervalMs = 100;
 
 const unconfirmed = (text: string, taken: 'no' | 'unknown'): Error =>
   Failure.of('unconfirmed', text, { taken });
 
-/** Tells whether a primary is in touch with a majority, counted from when it was first seen here. */
-const touchOf = () => {
+/** Returns a check whether a primary has contact with a majority, counted from when it was first seen here. */
+const contactCheck = () => {
   let seen: { readonly primary: Primary; readonly since: Instant } | undefined;
   return (primary: Primary): boolean => {
     if (seen?.primary !== primary) seen = { primary, since: Instant.now() };
-    return Instant.since(Math.max(primary.confirmedAt(), seen.since) as Instant) < outOfTouchAfter;
+    return Instant.since(Math.max(primary.confirmedAt(), seen.since) as Instant) < maxContactAgeMs;
   };
 };
 
-/** Rejects once an order has waited too long, or its primary is out of touch. */
-const lateness = (isInTouch: () => boolean, give: (text: string) => Error) => {
+/** A promise that rejects once a request has waited too long or its primary lost contact with the majority. */
+const startDeadline = (hasContact: () => boolean, errorFor: (text: string) => Error) => {
   let stop: () => void = () => {};
-  const late = new Promise<never>((_resolve, reject) => {
-    const end = Timer.after(responseWithin, () => reject(give('not confirmed in time')));
-    const look = Timer.every(touchEvery, () => {
-      if (!isInTouch()) reject(give('no majority is in touch'));
+  const expired = new Promise<never>((_resolve, reject) => {
+    const timeout = Timer.after(responseTimeoutMs, () => reject(errorFor('not confirmed in time')));
+    const contactTimer = Timer.every(contactCheckIntervalMs, () => {
+      if (!hasContact()) reject(errorFor('no contact with a majority'));
     });
     stop = () => {
-      end.stop();
-      look.stop();
+      timeout.stop();
+      contactTimer.stop();
     };
   });
-  late.catch(() => undefined);
-  return { late, stop: () => stop() };
+  expired.catch(() => undefined);
+  return { expired, stop: () => stop() };
 };
 
-type Order = {
+type PendingChange = {
   readonly primary: Primary;
-  readonly isInTouch: () => boolean;
+  readonly hasContact: () => boolean;
   readonly confirm: () => Promise<State>;
 };
 
-const runOrder = async (
-  { primary, isInTouch, confirm }: Order,
+const runChange = async (
+  { primary, hasContact, confirm }: PendingChange,
   make: Parameters<PrimaryGateway['change']>[0],
-  tell: Parameters<PrimaryGateway['change']>[1],
+  respond: Parameters<PrimaryGateway['change']>[1],
 ): Promise<Responses> => {
   let isBegun = false;
   let isExpired = false;
@@ -93,13 +100,13 @@
     return undefined;
   });
   work.catch(() => undefined);
-  const { late, stop } = lateness(isInTouch, (text) => {
+  const { expired, stop } = startDeadline(hasContact, (text) => {
     isExpired = true;
     return unconfirmed(text, isBegun ? 'unknown' : 'no');
   });
   try {
-    const state = await Promise.race([work, late]);
-    if (!refusal) return tell(state, change!);
+    const state = await Promise.race([work, expired]);
+    if (!refusal) return respond(state, change!);
     await confirm();
     return refusal;
   } catch (error) {
@@ -111,37 +118,38 @@
   }
 };
 
+/** Creates the gateway of a core. */
 export const PrimaryGateway = {
   of({ leading, proposer }: PrimaryGateway.Options): PrimaryGateway {
-    const isInTouch = touchOf();
-    const mustLead = (): Primary => {
+    const hasContact = contactCheck();
+    const requirePrimary = (): Primary => {
       const primary = leading();
       if (!primary) throw unconfirmed('no primary here', 'no');
       return primary;
     };
-    const mustBeInTouch = (primary: Primary) => {
+    const requireContact = (primary: Primary) => {
       if (leading() !== primary) throw unconfirmed('another term has begun', 'no');
-      if (!isInTouch(primary)) throw unconfirmed('no majority is in touch', 'no');
+      if (!hasContact(primary)) throw unconfirmed('no contact with a majority', 'no');
     };
     const isSettledAt = (primary: Primary) => State.isSettled(primary.state(), primary.term().formed);
-    const confirmSoon = async (primary: Primary): Promise<State> => {
-      const { late, stop } = lateness(
-        () => isInTouch(primary),
+    const confirmWithDeadline = async (primary: Primary): Promise<State> => {
+      const { expired, stop } = startDeadline(
+        () => hasContact(primary),
         (text) => unconfirmed(text, 'no'),
       );
       try {
-        return await Promise.race([confirmBy(primary), late]);
+        return await Promise.race([confirmWith(primary), expired]);
       } finally {
         stop();
       }
     };
-    const confirmBy = async (primary: Primary): Promise<State> => {
-      const began = Instant.now();
+    const confirmWith = async (primary: Primary): Promise<State> => {
+      const startedAt = Instant.now();
       for (;;) {
-        mustBeInTouch(primary);
+        requireContact(primary);
         const state = primary.state();
         const isConfirmed = await primary.confirm();
-        mustBeInTouch(primary);
+        requireContact(primary);
         if (isConfirmed) {
           if (isSettledAt(primary)) return state;
           throw unconfirmed('the cores formed anew and ask the nodes', 'no');
@@ -149,18 +157,23 @@
         const term = await proposer.read();
         if (term && term.primary !== primary.term().primary)
           primary.depose('a majority names another primary');
-        if (Instant.since(began) > lookAgainFor) throw unconfirmed('no majority confirms the epoch', 'no');
-        await Timer.sleep(lookAgainEvery);
+        if (Instant.since(startedAt) > confirmRetryForMs)
+          throw unconfirmed('no majority confirms the epoch', 'no');
+        await Timer.sleep(confirmRetryIntervalMs);
       }
     };
     return {
-      confirm: async () => confirmSoon(mustLead()),
-      isSettled: () => isSettledAt(mustLead()),
-      async change(make, tell) {
-        const primary = mustLead();
-        mustBeInTouch(primary);
-        const order = { primary, isInTouch: () => isInTouch(primary), confirm: () => confirmBy(primary) };
-        return runOrder(order, make, tell);
+      confirm: async () => confirmWithDeadline(requirePrimary()),
+      isSettled: () => isSettledAt(requirePrimary()),
+      async change(make, respond) {
+        const primary = requirePrimary();
+        requireContact(primary);
+        const pendingChange = {
+          primary,
+          hasContact: () => hasContact(primary),
+          confirm: () => confirmWith(primary),
+        };
+        return runChange(pendingChange, make, respond);
       },
     };
   },
--- a/src/control/program.ts
+++ b/src/control/program.ts
@@ -1,5 +1,8 @@
-// A control node as a program: its disk, its part of the register, replication, sessions with agents,
-// and the HTTP interface.
+/**
+ * The control node program: its data folder, its acceptor of the register, replication, the sessions with agents
+ * and proxies, and the HTTP interface.
+ */
+
 import type { Server } from 'node:http';
 import { Address } from '../common/address.js';
 import { Epoch } from '../common/epoch.js';
@@ -45,17 +48,25 @@
 import type { ReadDirectory } from './queries/read-directory.js';
 import { ShutdownStep } from './shutdown-step.js';
 
-const nearbyAgents = 6;
-const knowsAfter = 1500;
-const confirmedWithin = 1200;
-const freshFor = 1500;
-const unheardAfter = 2000;
-/** How long an end waits for the core's release, and for what the core does, in milliseconds. */
-const leaveWithin = 2600;
-const stopWithin = 750;
+/** How many agents a child is told of besides the cores. */
+const maxNearbyAgents = 6;
+/** The directory answers only this long after the start, in milliseconds: before that the roll is incomplete. */
+const directoryReadyAfterMs = 1500;
+/** The primary's periodic duties run only while a majority confirmed it within this time, in milliseconds. */
+const maxConfirmationAgeMs = 1200;
+/** A confirmed primary counts as in contact for this long after it was last heard of, in milliseconds. */
+const maxContactAgeMs = 1500;
+/** A core polls the server list itself once no primary was heard of for this long, in milliseconds. */
+const primaryUnheardAfterMs = 2000;
+/** How long shutdown waits for the core's release, in milliseconds; above the limit that the release sets itself. */
+const leaveTimeoutMs = 2600;
+/** How long shutdown waits for the core to stop, in milliseconds; above the limit that the core sets itself. */
+const stopTimeoutMs = 750;
 
+/** Starts the control node program. */
 export type Control = {
-  readonly start: (startup: Startup['control'], ring: LogBuffer, adapter?: Adapter) => Promise<Program>;
+  /** Resolves once the node listens for peers and for HTTP requests. */
+  readonly start: (startup: Startup['control'], logBuffer: LogBuffer, adapter?: Adapter) => Promise<Program>;
 };
 
 const closeServer = (server: Server): Promise<void> =>
@@ -64,11 +75,12 @@
     server.closeAllConnections();
   });
 
+/** The control node program. */
 export const Control: Control = {
-  async start(startup, ring, adapter = {}) {
-    const began = Instant.now();
+  async start(startup, logBuffer, adapter = {}) {
+    const startedAt = Instant.now();
     const seal = startup.key_file === undefined ? undefined : await Seal.read(startup.key_file);
-    const { register, store } = await DataFolder.open(startup.data, ring.error, seal);
+    const { register, store } = await DataFolder.open(startup.data, logBuffer.error, seal);
     const feed = Feed.of();
     const boot = Id.boot();
     let wire = startup.wire;
@@ -89,13 +101,13 @@
       vouched: false,
     }));
     const age = (): number => core?.confirmationAge() ?? feed.age();
-    /** Whether a primary that a majority confirms was heard of just now, here or over the others. */
-    const isInTouch = () => age() < freshFor;
+    /** Whether a primary that a majority confirms was heard of recently, directly or through other cores. */
+    const isInTouch = () => age() < maxContactAgeMs;
     const children = Children.of(roll);
     const turns = Turns.of();
-    const isBelow = (node: string) => (roll.get(node)?.program ?? 'control') !== 'control';
+    const isAgentOrProxy = (node: string) => (roll.get(node)?.program ?? 'control') !== 'control';
     const roster = Roster.of();
-    const rosters = Timer.every(250, () => {
+    const rosterTimer = Timer.every(250, () => {
       quotas.look(core?.term()?.epoch ?? 0);
       const proxies = roll.all().filter((entry) => entry.program === 'proxy');
       const names = proxies.map((entry) => entry.node);
@@ -110,12 +122,12 @@
       age,
       roll,
       onTokens: ({ stamp: _stamp, ...frame }) => sendDown(frame),
-      onLoads: (loads) => children.broadcast({ kind: 'loads', loads }, isBelow),
-      onLeaving: (instances) => children.broadcast({ kind: 'leaving', instances }, isBelow),
-      onFailures: (failed) => children.broadcast({ kind: 'failures', failed }, isBelow),
-      onCold: ({ stamp: _stamp, ...frame }) => children.broadcast(frame, isBelow),
+      onLoads: (loads) => children.broadcast({ kind: 'loads', loads }, isAgentOrProxy),
+      onLeaving: (instances) => children.broadcast({ kind: 'leaving', instances }, isAgentOrProxy),
+      onFailures: (failed) => children.broadcast({ kind: 'failures', failed }, isAgentOrProxy),
+      onCold: ({ stamp: _stamp, ...frame }) => children.broadcast(frame, isAgentOrProxy),
       onConnect: () => core?.wake(),
-      note: ring.info,
+      note: logBuffer.info,
     });
     const quotas = QuotaDuty.of({
       quotaOf: (team) => feed.view().manifest?.document.teams[team]?.quota,
@@ -146,7 +158,7 @@
     const transfers = TransferMeter.of();
     const isLeading = () => core?.leading() !== undefined;
     const backup = Backup.of({ register, store, isLeading, meter: transfers });
-    const desk = PeerRequestHandler.of({
+    const peerRequestHandler = PeerRequestHandler.of({
       register,
       proposer,
       backup,
@@ -154,57 +166,60 @@
       leave: (leaving, successor) =>
         core?.release(leaving, successor) ?? Promise.resolve('this core has just started'),
       join: (joining) => core?.join(joining) ?? Promise.resolve('this core has just started'),
-      note: ring.info,
+      note: logBuffer.info,
     });
-    const controls = () =>
+    const controlAddresses = () =>
       roll
         .all()
         .filter((one) => one.program === 'control' && one.wire !== '')
         .map((one) => one.wire);
-    const places = () => {
+    const coreAddresses = () => {
       const cores =
         core
           ?.term()
           ?.cores.map((one) => one.wire)
-          .filter((place) => place !== '') ?? [];
-      return [...new Set([...cores, ...controls().sort(), ...(cores.length > 0 ? [] : startup.seeds)])];
+          .filter((address) => address !== '') ?? [];
+      return [
+        ...new Set([...cores, ...controlAddresses().sort(), ...(cores.length > 0 ? [] : startup.seeds)]),
+      ];
     };
-    const nearby = (child: Frame.Entry) => {
+    const nearbyAgents = (child: Frame.Entry) => {
       const agents = roll.all().filter((one) => one.program === 'agent' && one.node !== child.node);
-      const far = agents.filter((one) => one.zone !== child.zone);
-      const near = agents.filter((one) => one.zone === child.zone);
-      const start = Places.hash(child.node) % Math.max(1, far.length);
-      return [...near.slice(0, 2), ...far.slice(start), ...far.slice(0, start)]
-        .slice(0, nearbyAgents)
+      const inOtherZones = agents.filter((one) => one.zone !== child.zone);
+      const inSameZone = agents.filter((one) => one.zone === child.zone);
+      const start = Places.hash(child.node) % Math.max(1, inOtherZones.length);
+      return [...inSameZone.slice(0, 2), ...inOtherZones.slice(start), ...inOtherZones.slice(0, start)]
+        .slice(0, maxNearbyAgents)
         .map((one) => one.wire);
     };
-    const doorway = await LinkServer.open({
+    const linkServer = await LinkServer.open({
       address: Address.checked(startup.wire),
       stamp: feed.stamp,
       age,
       pingsWhenBusy: true,
-      note: ring.info,
+      note: logBuffer.info,
       serve: (link, hello, frames) =>
         hello.aim === 'core'
-          ? desk.serve(link, frames)
+          ? peerRequestHandler.serve(link, frames)
           : Downlink.serve(link, hello, frames, {
               feed,
               roll,
               children,
-              peers: (child) => (child.program === 'control' ? places() : [...places(), ...nearby(child)]),
+              peers: (child) =>
+                child.program === 'control' ? coreAddresses() : [...coreAddresses(), ...nearbyAgents(child)],
               relays: (child) => Relays.of(child, roll.all()),
               isRelay: (child) => child.program === 'control' || Relays.isOne(child, roll.all()),
               turns,
               version: Version,
               age,
-              isFirstHand: () => core?.leading() !== undefined || feed.age() > freshFor,
+              isFirstHand: () => core?.leading() !== undefined || feed.age() > maxContactAgeMs,
               roster,
               onTokens: ({ stamp: _stamp, ...frame }) => budget.take(frame),
               onCold: ({ stamp: _stamp, ...frame }) => children.broadcast(frame),
               onFailures: failures.add,
             }),
     });
-    wire = LinkServer.text(doorway);
+    wire = LinkServer.text(linkServer);
     core = Core.of({
       register,
       store,
@@ -215,15 +230,15 @@
       self,
       clientFor: (one) => peers.clientAt(one.wire),
       connectTo: peers.connectTo,
-      addresses: controls,
+      addresses: controlAddresses,
       offeredView: feed.view,
       quietFor: roll.quietFor,
       markRetired: () => DataFolder.markRetired(startup.data),
       publish(view) {
         if (view.manifest) feed.offer(view);
       },
-      note: ring.info,
-      alert: ring.error,
+      note: logBuffer.info,
+      alert: logBuffer.error,
       transfers,
     });
     const running = core;
@@ -237,7 +252,7 @@
     gauge('members', 'nodes on the roll', () => roll.all().length);
     gauge('servers', 'servers on the list held', () => store.state().platform.servers.length);
     gauge('list_serial', 'serial of the list held', () => store.state().platform.serial);
-    gauge('links_dropped', 'links closed for what they sent', doorway.refusedCount);
+    gauge('links_dropped', 'links closed for what they sent', linkServer.refusedCount);
     gauge('frames_unknown', 'frames dropped since their kind is not known here', Frame.unknownCount);
     const { counts } = transfers;
     gauge(
@@ -252,7 +267,7 @@
     gauge('news_dropped', 'news dropped as not newer', feed.ignored);
     const ops = Ops.of({
       metrics,
-      ring,
+      ring: logBuffer,
       isReady: () =>
         running.isRetired()
           ? 'the slot of this core was given to another disk'
@@ -268,15 +283,15 @@
         version: Version,
       }),
     });
-    const office = PrimaryGateway.of({ leading: running.leading, proposer });
+    const gateway = PrimaryGateway.of({ leading: running.leading, proposer });
     const directory: ReadDirectory.Needs = {
       roll,
-      knows: () => Instant.since(began) > knowsAfter,
+      knows: () => Instant.since(startedAt) > directoryReadyAfterMs,
       regionOf: (zone) => feed.view().manifest?.document.zones[zone]?.region,
     };
     const controlHttp = ControlHttp.of({
       startup,
-      office,
+      office: gateway,
       core: running,
       roll,
       directory,
@@ -287,26 +302,26 @@
       ownHttp: () => http,
       isReached: (one) => peers.clientAt(one.wire)?.downFor() === 0,
       operations: ops.app,
-      note: ring.info,
+      note: logBuffer.info,
     });
     const { server } = controlHttp;
     http = Address.text(await Listen(server, Address.checked(startup.http)));
-    const callers = adapter.directory && DirectoryHttp.of(adapter.directory, directory);
-    if (callers) await Listen(callers, Address.checked(adapter.directory!.address));
+    const directoryServer = adapter.directory && DirectoryHttp.of(adapter.directory, directory);
+    if (directoryServer) await Listen(directoryServer, Address.checked(adapter.directory!.address));
     const list =
       adapter.list &&
       ListDuty.run({
         source: adapter.list,
-        isHeld: () => (running.confirmationAge() ?? Number.POSITIVE_INFINITY) < confirmedWithin,
+        isHeld: () => (running.confirmationAge() ?? Number.POSITIVE_INFINITY) < maxConfirmationAgeMs,
         held: () => store.state().platform.servers,
-        renew: async (servers) => (await RenewList.run(office, { servers })).status === 200,
-        note: ring.info,
+        renew: async (servers) => (await RenewList.run(gateway, { servers })).status === 200,
+        note: logBuffer.info,
       });
     const lookout =
       adapter.list &&
       LookoutDuty.run({
         source: adapter.list,
-        hasPrimary: () => Instant.since(began) < unheardAfter || age() < unheardAfter,
+        hasPrimary: () => Instant.since(startedAt) < primaryUnheardAfterMs || age() < primaryUnheardAfterMs,
         turn() {
           const cores = running.term()?.cores ?? [];
           const index = cores.findIndex((one) => one.disk === register.disk);
@@ -314,13 +329,13 @@
         },
         held: () => (feed.view().manifest ? feed.view() : store.state()).platform.servers,
         tell: (instances) => children.broadcast({ kind: 'leaving', instances }),
-        note: ring.info,
+        note: logBuffer.info,
       });
     const reports =
       adapter.reports &&
       ReportDuty.run({
         source: adapter.reports,
-        isHeld: () => (running.confirmationAge() ?? Number.POSITIVE_INFINITY) < confirmedWithin,
+        isHeld: () => (running.confirmationAge() ?? Number.POSITIVE_INFINITY) < maxConfirmationAgeMs,
         servers: () => {
           const { manifest, platform } = feed.view();
           return platform.servers.filter(({ group }) => manifest?.document.groups[group]?.kind === 'model');
@@ -331,26 +346,26 @@
     return {
       ready: { wire, http },
       drain: () =>
-        ShutdownStep.runAll(ring.info, [
-          { name: 'leaving the cores', timeout: leaveWithin, run: running.leave },
+        ShutdownStep.runAll(logBuffer.info, [
+          { name: 'hand over the core role', timeout: leaveTimeoutMs, run: running.leave },
           {
-            name: 'timers and duties',
+            name: 'timers and periodic duties',
             run: async () => {
-              rosters.stop();
+              rosterTimer.stop();
               failures.stop();
               await Promise.all([list?.stop(), lookout?.stop(), reports?.stop()]);
             },
           },
-          { name: 'the core', timeout: stopWithin, run: running.stop },
-          { name: 'links to the others', run: () => Promise.all([peers.stop(), doorway.close()]) },
+          { name: 'core', timeout: stopTimeoutMs, run: running.stop },
+          { name: 'peer links', run: () => Promise.all([peers.stop(), linkServer.close()]) },
           {
-            name: 'HTTP',
+            name: 'HTTP servers',
             run: async () => {
-              await Promise.all([server, ...(callers ? [callers] : [])].map(closeServer));
+              await Promise.all([server, ...(directoryServer ? [directoryServer] : [])].map(closeServer));
               controlHttp.close();
             },
           },
-          { name: 'the state', run: store.close },
+          { name: 'store', run: store.close },
         ]),
     };
   },
--- a/src/control/shutdown-step.ts
+++ b/src/control/shutdown-step.ts
@@ -1,32 +1,37 @@
-// The end of a program in bounded steps: each has its time, and one that is not done by then (a disk that hangs, a
-// peer that is silent) is named in the log and left behind, for the process is about to be gone anyway.
+/**
+ * Shutdown in steps with a time limit each. A step that does not finish in time (a disk that hangs, a peer that is
+ * silent) is logged and abandoned, since the process is about to exit anyway.
+ */
+
 import { Failure } from '../common/failure.js';
 import { Timer } from '../common/timer.js';
 
-/** One step of the end. */
+/** One step of a shutdown. */
 export type ShutdownStep = {
   readonly name: string;
-  /** Milliseconds; a short time without it. */
+  /** Time limit in milliseconds; 250 by default. */
   readonly timeout?: number;
   readonly run: () => Promise<unknown>;
 };
 
-const shortly = 250;
+/** The time limit of a step that sets none, in milliseconds. */
+const defaultTimeoutMs = 250;
 
+/** Runs the steps of a shutdown. */
 export const ShutdownStep = {
-  /** Runs the steps one after the other, none longer than its time. */
+  /** Runs the steps one after the other, none longer than its time limit. */
   async runAll(
     note: (text: string, facts?: Record<string, unknown>) => void,
     steps: readonly ShutdownStep[],
   ): Promise<void> {
-    for (const { name: what, timeout: within, run: end } of steps) {
-      const late = Timer.sleep(within ?? shortly).then(() => 'took too long');
-      const done = end().then(
+    for (const { name, timeout, run } of steps) {
+      const expired = Timer.sleep(timeout ?? defaultTimeoutMs).then(() => 'timed out');
+      const finished = run().then(
         () => undefined,
         (error) => Failure.text(error),
       );
-      const why = await Promise.race([done, late]);
-      if (why !== undefined) note('the end goes on without waiting', { what, why });
+      const why = await Promise.race([finished, expired]);
+      if (why !== undefined) note('shutdown step failed or timed out; continuing', { what: name, why });
     }
   },
 };
--- a/tools/simulation/plant-list.ts
+++ b/tools/simulation/plant-list.ts
@@ -97,8 +97,8 @@
       'a core that is not in sync takes over',
       'control/lifecycle/following.ts',
       [
-        'if (!term || !Term.isInSync(term, register.disk) || !store.isSound() || life.isLeaving) return;',
-        'if (!term || life.isLeaving) return;',
+        'if (!term || !Term.isInSync(term, register.disk) || !store.isSound() || context.isLeaving) return;',
+        'if (!term || context.isLeaving) return;',
       ],
       ['Term.isSame(base, from) && Term.isInSync(base, register.disk)', 'Term.isSame(base, from)'],
     ),
