--- a/src/control/adapter.ts
+++ b/src/control/adapter.ts
@@ -6,7 +6,7 @@
 import type { Context, Hono } from 'hono';
 import type { ListSource } from '../duty/list-source.js';
 import type { ReportSource } from '../duty/report-source.js';
-import type { Office } from './office.js';
+import type { PrimaryGateway } from './primary-gateway.js';
 import type { ReadDirectory } from './queries/read-directory.js';
 import type { Responses } from './responses.js';
 
@@ -30,7 +30,7 @@
   type Handle = (context: Context) => Promise<Responses> | Responses;
   /** What the paths for operators are built from. */
   type OperatorContext = {
-    readonly office: Office;
+    readonly office: PrimaryGateway;
     /** Runs the handler at the primary and answers 503 if its result could not be confirmed. */
     readonly onPrimary: (handle: Handle) => (context: Context) => Promise<Response>;
   };
--- a/src/control/commands/evacuate.ts
+++ b/src/control/commands/evacuate.ts
@@ -5,7 +5,7 @@
 
 import type { Id } from '../../common/id.js';
 import { State } from '../../store/state.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import { Responses } from '../responses.js';
 import { Rights } from '../rights.js';
 
@@ -23,7 +23,7 @@
 export const Evacuate = {
   /** Makes the change, or answers why it was refused; repeating it changes nothing. */
   async run(
-    office: Office,
+    office: PrimaryGateway,
     { zone, isEvacuated, by: person = unrestrictedOperator }: Evacuate,
   ): Promise<Responses> {
     const by = person.name;
--- a/src/control/commands/leave.ts
+++ b/src/control/commands/leave.ts
@@ -2,7 +2,7 @@
 
 import type { Guard } from '../../common/guard.js';
 import { Document } from '../../manifest/document.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import { Responses } from '../responses.js';
 
 /** The notice as received. */
@@ -11,7 +11,7 @@
 /** The command that marks an instance as leaving. */
 export const Leave = {
   /** Records the notice, or answers why it was refused; repeating it changes nothing. */
-  async run(office: Office, { body }: Leave): Promise<Responses> {
+  async run(office: PrimaryGateway, { body }: Leave): Promise<Responses> {
     const findings: Guard.Finding[] = [];
     if (!Document.leaving(body, '', findings))
       return Responses.fail(422, 'invalid_notice', 'the notice is invalid', { findings });
--- a/src/control/commands/put-servers.ts
+++ b/src/control/commands/put-servers.ts
@@ -5,7 +5,7 @@
 
 import { isDeepStrictEqual } from 'node:util';
 import { Check } from '../../manifest/check.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import { Responses } from '../responses.js';
 
 /** The list as received. */
@@ -14,7 +14,7 @@
 /** The command that replaces the list of servers. */
 export const PutServers = {
   /** Takes the list, or answers why it was refused. */
-  async run(office: Office, { body }: PutServers): Promise<Responses> {
+  async run(office: PrimaryGateway, { body }: PutServers): Promise<Responses> {
     const checked = Check.servers(body);
     if (!('serial' in checked))
       return Responses.fail(422, 'invalid_servers', 'the list is invalid', { findings: checked });
--- a/src/control/commands/refresh-server-list.ts
+++ b/src/control/commands/refresh-server-list.ts
@@ -2,7 +2,7 @@
 
 import { isDeepStrictEqual } from 'node:util';
 import type { Document } from '../../manifest/document.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import type { Responses } from '../responses.js';
 
 /** The list as polled. */
@@ -11,7 +11,7 @@
 /** The command that stores a polled list of servers. */
 export const RefreshServerList = {
   /** Stores the list if it differs from the stored one. */
-  async run(office: Office, { servers }: RefreshServerList): Promise<Responses> {
+  async run(office: PrimaryGateway, { servers }: RefreshServerList): Promise<Responses> {
     const at = new Date().toISOString();
     return office.change(
       ({ platform }, stamp) =>
--- a/src/control/commands/rollback.ts
+++ b/src/control/commands/rollback.ts
@@ -6,7 +6,7 @@
 import { Guard } from '../../common/guard.js';
 import { Revision } from '../../common/revision.js';
 import { State } from '../../store/state.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import { Responses } from '../responses.js';
 import { PutManifest } from './put-manifest.js';
 
@@ -18,7 +18,7 @@
 /** The command that restores a retained manifest. */
 export const Rollback = {
   /** Puts the manifest of the requested revision as a new revision. */
-  async run(office: Office, rollback: Rollback): Promise<Responses> {
+  async run(office: PrimaryGateway, rollback: Rollback): Promise<Responses> {
     const findings: Guard.Finding[] = [];
     if (!bodyGuard(rollback.body, '', findings))
       return Responses.fail(422, 'invalid_rollback', 'the rollback request is invalid', { findings });
--- a/src/control/http.ts
+++ b/src/control/http.ts
@@ -19,8 +19,8 @@
 import { PutServers } from './commands/put-servers.js';
 import { Rollback } from './commands/rollback.js';
 import type { Core } from './core.js';
-import type { Office } from './office.js';
 import { PrimaryForwarder } from './primary-forwarder.js';
+import type { PrimaryGateway } from './primary-gateway.js';
 import { ReadDirectory } from './queries/read-directory.js';
 import { ReadEvacuations } from './queries/read-evacuations.js';
 import { ReadManifest } from './queries/read-manifest.js';
@@ -36,7 +36,7 @@
   /** The parts of the node that the API reads and changes. */
   type Dependencies = {
     readonly startup: Startup['control'];
-    readonly office: Office;
+    readonly office: PrimaryGateway;
     readonly core: Core;
     readonly roll: MemberTable;
     readonly usage: () => object;
--- a/src/control/queries/read-manifest.ts
+++ b/src/control/queries/read-manifest.ts
@@ -6,7 +6,7 @@
 import { Revision } from '../../common/revision.js';
 import type { Document } from '../../manifest/document.js';
 import { State } from '../../store/state.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import { Responses } from '../responses.js';
 import type { Rights } from '../rights.js';
 
@@ -22,7 +22,7 @@
 /** The query for a manifest. */
 export const ReadManifest = {
   /** Answers with the manifest, or 404 with the revisions that are retained. */
-  async run(office: Office, query: ReadManifest): Promise<Responses> {
+  async run(office: PrimaryGateway, query: ReadManifest): Promise<Responses> {
     const state = await office.confirm();
     const requested = query.revision === undefined ? undefined : Revision.parse(query.revision);
     const found =
--- a/src/control/queries/read-source.ts
+++ b/src/control/queries/read-source.ts
@@ -5,7 +5,7 @@
 
 import type { Document } from '../../manifest/document.js';
 import { State } from '../../store/state.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 
 /** The source of the newest manifest. */
 export type ReadSource = { readonly source: Document.Source };
@@ -13,7 +13,7 @@
 /** The query for the source of the newest manifest. */
 export const ReadSource = {
   /** The source, or undefined if the newest manifest has none. */
-  async run(office: Office): Promise<ReadSource | undefined> {
+  async run(office: PrimaryGateway): Promise<ReadSource | undefined> {
     const source = State.newest(await office.confirm())?.document.source;
     return source && { source };
   },
--- a/src/control/queries/read-status.ts
+++ b/src/control/queries/read-status.ts
@@ -7,7 +7,7 @@
 import type { Primary } from '../../replica/primary.js';
 import type { Frame } from '../../wire/frame.js';
 import type { Core } from '../core.js';
-import type { Office } from '../office.js';
+import type { PrimaryGateway } from '../primary-gateway.js';
 import type { Responses } from '../responses.js';
 
 /** What the status is read from, beside the stored state. */
@@ -59,12 +59,12 @@
 /** The queries for members and status. */
 export const ReadStatus = {
   /** The members known to the primary. An isolated core knows only a few and answers 503 instead. */
-  async nodes(office: Office, { roll }: ReadStatus): Promise<Responses> {
+  async nodes(office: PrimaryGateway, { roll }: ReadStatus): Promise<Responses> {
     await office.confirm();
     return { status: 200, body: { nodes: roll.all().map(describeNode) } };
   },
   /** The state of the cores, the manifest and the proxies. */
-  async run(office: Office, { roll, core }: ReadStatus): Promise<Responses> {
+  async run(office: PrimaryGateway, { roll, core }: ReadStatus): Promise<Responses> {
     const state = await office.confirm();
     const proxies = roll.all().filter((entry) => entry.program === 'proxy');
     const behind = proxies.filter((entry) => Stamp.isNewer(state.stamp, entry.stamp));
--- a/tools/plants/plants.ts
+++ b/tools/plants/plants.ts
@@ -168,9 +168,9 @@
   {
     ...common,
     name: 'reads are not confirmed by a majority',
-    file: 'src/control/office.js',
-    from: 'if (await primary.confirm())',
-    to: 'if (true)',
+    file: 'src/control/primary-gateway.js',
+    from: 'const isConfirmed = await primary.confirm();',
+    to: 'const isConfirmed = true;',
     judge: 'newestIsRead',
     only: ['primaryCut'],
     atOnce: 1,
@@ -189,7 +189,7 @@
   {
     ...common,
     name: 'cores that formed anew listen for too long',
-    file: 'src/control/core.js',
+    file: 'src/control/lifecycle/leading.js',
     from: 'least: 1200, quiet: 600, most: 2500',
     to: 'least: 25000, quiet: 600, most: 25000',
     judge: 'backInTime',
