--- a/src/common/guard.ts
+++ b/src/common/guard.ts
@@ -47,7 +47,7 @@
   string:
     <T extends string = string>(limits: Limits = {}): Guard<T> =>
     (value, place, findings): value is T => {
-      if (typeof value !== 'string') return report(findings, place, 'must be a string');
+      if (typeof value !== 'string') return report(findings, place, 'must be a text');
       if (value.length < (limits.min ?? 1)) return report(findings, place, 'must not be empty');
       if (value.length > (limits.max ?? 1024)) return report(findings, place, 'is too long');
       if (limits.like && !limits.like.test(value))
@@ -60,7 +60,7 @@
     (value, place, findings): value is T =>
       Number.isSafeInteger(value)
         ? checkRange(value, place, findings, range)
-        : report(findings, place, 'must be an integer'),
+        : report(findings, place, 'must be a whole number'),
   number:
     (range: Range = {}): Guard<number> =>
     (value, place, findings): value is number =>
@@ -77,7 +77,7 @@
   list:
     <T>(each: Guard<T>, range: Range = {}): Guard<readonly T[]> =>
     (value, place, findings): value is readonly T[] => {
-      if (!Array.isArray(value)) return report(findings, place, 'must be an array');
+      if (!Array.isArray(value)) return report(findings, place, 'must be a list');
       if (value.length < (range.min ?? 0))
         return report(findings, place, `must hold at least ${range.min} entries`);
       if (value.length > (range.max ?? 10_000))
@@ -112,7 +112,7 @@
       let isValid = true;
       for (const key of Object.keys(value))
         if (!Object.hasOwn(required, key) && !Object.hasOwn(optional, key))
-          isValid = report(findings, pointerTo(place, key), 'is not a known field');
+          isValid = report(findings, pointerTo(place, key), 'is not known here');
       for (const [key, guard] of Object.entries(required))
         if (value[key] === undefined) isValid = report(findings, pointerTo(place, key), 'is missing');
         else isValid = guard(value[key], pointerTo(place, key), findings) && isValid;
@@ -136,6 +136,6 @@
   /** An IP address with a port, as a string. */
   address: ((value, place, findings): value is string =>
     (typeof value === 'string' && Address.parse(value) !== undefined) ||
-    report(findings, place, 'must be an IP address and port, such as 10.0.0.1:7000')) as Guard<string>,
+    report(findings, place, 'must be an IP number and port, as 10.0.0.1:7000')) as Guard<string>,
   report,
 };
--- a/src/control/commands/evacuate.ts
+++ b/src/control/commands/evacuate.ts
@@ -35,7 +35,7 @@
       (state, stamp) => {
         const document = State.newest(state)?.document;
         if (!office.isSettled() || !document)
-          return Responses.unconfirmed('unconfirmed', 'no manifest is known to be in force yet', 'no');
+          return Responses.unconfirmed('unconfirmed', 'no manifest is known to be in place yet', 'no');
         if (!Object.hasOwn(document.zones, zone))
           return Responses.fail(
             404,
--- a/src/control/commands/leave.ts
+++ b/src/control/commands/leave.ts
@@ -14,13 +14,13 @@
   async run(office: PrimaryGateway, { body }: Leave): Promise<Responses> {
     const findings: Guard.Finding[] = [];
     if (!Document.leaving(body, '', findings))
-      return Responses.fail(422, 'invalid_notice', 'the notice is invalid', { findings });
+      return Responses.fail(422, 'invalid_notice', 'the notice was not taken', { findings });
     const { instance } = body;
     const at = new Date().toISOString();
     return office.change(
       ({ platform }, stamp) => {
         if (!platform.servers.some((server) => server.instance === instance))
-          return Responses.fail(404, 'unknown_instance', `the server list has no instance ${instance}`);
+          return Responses.fail(404, 'unknown_instance', `the list names no ${instance}`);
         if (platform.leaving.includes(instance))
           return { status: 200, body: { instance, revision: platform.revision } };
         return { kind: 'leaving', stamp, instance, at };
--- a/src/control/commands/put-manifest.ts
+++ b/src/control/commands/put-manifest.ts
@@ -31,7 +31,7 @@
 
 const withoutKeyFile = {
   place: '/walls',
-  text: 'needs key_file in the startup of the control nodes: its secret is not stored unencrypted',
+  text: 'needs key_file in the startup of the control nodes: its secret is not kept in plain',
 };
 
 const takenResponse = (revision: Revision): Responses => ({
@@ -60,7 +60,7 @@
   if (known.isSame) return takenResponse(known.revision);
   return put.key === undefined
     ? undefined
-    : Responses.fail(409, 'key_reused', 'the idempotency key was used for another manifest');
+    : Responses.fail(409, 'key_reused', 'the idempotency key came with another manifest before');
 };
 
 /**
@@ -71,7 +71,7 @@
   put.key !== undefined && put.ifMatch !== undefined && Orders.mayBeMissing(orders, put.ifMatch)
     ? Responses.unconfirmed(
         'unconfirmed',
-        `a request on revision ${put.ifMatch} may have been taken before the record of requests begins`,
+        `an order on revision ${put.ifMatch} may have been taken before the record of orders begins`,
         'unknown',
       )
     : undefined;
@@ -93,14 +93,14 @@
   async run(office: PrimaryGateway, put: PutManifest): Promise<Responses> {
     const checked = Check.manifest(put.body);
     if (checked.kind === 'bad')
-      return Responses.fail(422, 'invalid_manifest', 'the manifest is invalid', {
+      return Responses.fail(422, 'invalid_manifest', 'the manifest was not taken', {
         findings: checked.findings,
       });
     if (put.ifMatch === undefined)
-      return Responses.fail(428, 'if_match_missing', 'If-Match must name the revision to replace');
+      return Responses.fail(428, 'if_match_missing', 'If-Match must name the revision that is replaced');
     const requested = checked.document;
     if (requested.walls && !put.isSealed)
-      return Responses.fail(422, 'invalid_manifest', 'the manifest is invalid', {
+      return Responses.fail(422, 'invalid_manifest', 'the manifest was not taken', {
         findings: [withoutKeyFile],
       });
     const digest = put.digest ?? digestOf(requested);
@@ -112,11 +112,7 @@
         const newest = State.newest(state);
         const current = newest?.revision ?? 0;
         if (put.ifMatch !== 0 && !office.isSettled())
-          return Responses.unconfirmed(
-            'unconfirmed',
-            'the cores were formed again and are recovering the state from the nodes',
-            'no',
-          );
+          return Responses.unconfirmed('unconfirmed', 'the cores formed anew and ask the nodes', 'no');
         if (current !== put.ifMatch && (put.ifMatch !== 0 || office.isSettled()))
           return (
             uncertainResponse(state, put) ??
@@ -124,7 +120,7 @@
           );
         const changed = WallChange.of(retainedDocuments(state), requested, makeSecret);
         if (changed.kind === 'bad')
-          return Responses.fail(422, 'invalid_manifest', 'the manifest is invalid', {
+          return Responses.fail(422, 'invalid_manifest', 'the manifest was not taken', {
             findings: changed.findings,
           });
         const { document } = changed;
--- a/src/control/commands/put-numbered.ts
+++ b/src/control/commands/put-numbered.ts
@@ -27,14 +27,14 @@
   async run(office: PrimaryGateway, { base, document }: PutNumbered): Promise<Responses> {
     const checked = Check.manifest(document);
     if (checked.kind === 'bad')
-      return Responses.fail(400, 'invalid_manifest', 'the manifest is invalid', {
+      return Responses.fail(400, 'invalid_manifest', 'the manifest was not taken', {
         findings: checked.findings,
       });
     const { number, digest } = document.source;
     const key = `number ${number}`;
     const uncertain = Responses.unconfirmed(
       'unconfirmed',
-      `number ${number} may have been taken before the record of requests begins`,
+      `number ${number} may have been taken before the record of orders begins`,
       'unknown',
     );
     const taken: Responses = { status: 200, body: { number } };
@@ -42,11 +42,7 @@
     return office.change(
       (state, stamp) => {
         if (!office.isSettled())
-          return Responses.unconfirmed(
-            'unconfirmed',
-            'the cores were formed again and are recovering the state from the nodes',
-            'no',
-          );
+          return Responses.unconfirmed('unconfirmed', 'the cores formed anew and ask the nodes', 'no');
         const newest = State.newest(state)?.document;
         const current = newest?.source?.number ?? 0;
         const known = Orders.numberStatus(state, number, digest);
@@ -55,7 +51,7 @@
         const isRefused = base !== current || number <= current;
         if (isRefused && known === 'missing') return uncertain;
         if (base !== current)
-          return Responses.fail(412, 'stale', `the manifest has number ${current}`, { number: current });
+          return Responses.fail(412, 'stale', `number ${current} is in place`, { number: current });
         if (number <= current)
           return Responses.fail(400, 'number_not_above', `the number must be above ${current}`, {
             findings: [{ place: '/source/number', text: `must be above ${current}` }],
--- a/src/control/commands/put-servers.ts
+++ b/src/control/commands/put-servers.ts
@@ -17,7 +17,7 @@
   async run(office: PrimaryGateway, { body }: PutServers): Promise<Responses> {
     const checked = Check.servers(body);
     if (!('serial' in checked))
-      return Responses.fail(422, 'invalid_servers', 'the list is invalid', { findings: checked });
+      return Responses.fail(422, 'invalid_servers', 'the list was not taken', { findings: checked });
     const { serial, servers } = checked;
     const at = new Date().toISOString();
     return office.change(
--- a/src/control/commands/rollback.ts
+++ b/src/control/commands/rollback.ts
@@ -21,14 +21,14 @@
   async run(office: PrimaryGateway, rollback: Rollback): Promise<Responses> {
     const findings: Guard.Finding[] = [];
     if (!bodyGuard(rollback.body, '', findings))
-      return Responses.fail(422, 'invalid_rollback', 'the rollback request is invalid', { findings });
+      return Responses.fail(422, 'invalid_rollback', 'nothing was changed', { findings });
     const wanted = Revision.of(rollback.body.revision);
     const state = await office.confirm();
     const digest = PutManifest.digestOf({ rollback: wanted });
     const refuse = (current: State): Responses =>
       PutManifest.recordedResponse(current, rollback, digest) ??
       PutManifest.uncertainResponse(current, rollback) ??
-      Responses.fail(404, 'not_kept', `the manifest of revision ${wanted} is not retained`);
+      Responses.fail(404, 'not_kept', `the manifest of revision ${wanted} is not kept`);
     const kept = state.manifests.find((one) => one.revision === wanted);
     if (!kept) return office.change(refuse, refuse);
     const walls = State.newest(state)?.document.walls ?? kept.document.walls;
--- a/src/control/http.ts
+++ b/src/control/http.ts
@@ -112,7 +112,7 @@
           try {
             context.set('body', await context.req.json());
           } catch {
-            return toResponse(context, Responses.fail(400, 'bad_json', 'the body is not valid JSON'));
+            return toResponse(context, Responses.fail(400, 'bad_json', 'the body is no JSON'));
           }
         }
         return forwarder.respond(context, () => handle(context));
@@ -241,7 +241,7 @@
     });
     if (operatorPaths) app.route('/', operatorPaths);
     app.notFound((context) =>
-      toResponse(context as Context<Env>, Responses.fail(404, 'no_path', 'no such path or method')),
+      toResponse(context as Context<Env>, Responses.fail(404, 'no_path', 'there is nothing here')),
     );
     const server = createAdaptorServer({
       fetch: app.fetch,
--- a/src/control/lifecycle/cluster-formation.ts
+++ b/src/control/lifecycle/cluster-formation.ts
@@ -55,10 +55,10 @@
         const { votes } = context;
         const least = losses + 1;
         if (votes.length < least) return `fewer than ${least} cores answer`;
-        if (rules.isAllowed(votes)) return 'the cores are forming automatically: there is nothing to force';
+        if (rules.isAllowed(votes)) return 'the cores form by themselves: there is nothing to force';
         const newest = Vote.newest(votes)?.term;
         if (newest && Vote.remembering(votes).length >= Term.majority(newest))
-          return 'a majority still holds the register: there is nothing to force';
+          return 'a majority remembers: there is nothing to force';
         const formed = await proposer.form(rules.buildTerm, least);
         if (!formed) return 'the cores did not agree; try again';
         alert('FORMED BY COMMAND WITHOUT A MAJORITY; state that only missing cores held is lost', {
--- a/src/control/peer-request-handler.ts
+++ b/src/control/peer-request-handler.ts
@@ -102,7 +102,7 @@
           return doneReply(serial, options.onTakeoverRequest() ?? '');
         })
         .with({ kind: 'leave' }, async ({ serial, core, successor }) =>
-          doneReply(serial, (await options.leave?.(core, successor)) ?? 'this core releases no others'),
+          doneReply(serial, (await options.leave?.(core, successor)) ?? 'this core releases none'),
         )
         .with({ kind: 'join' }, async ({ serial, core }) => doneReply(serial, await options.join(core)))
         .otherwise(({ kind }) => Promise.reject(Failure.of('frame', `unexpected ${kind} from a core`)));
--- a/src/control/primary-forwarder.ts
+++ b/src/control/primary-forwarder.ts
@@ -86,15 +86,15 @@
           primary.http === needs.ownHttpAddress() ||
           context.req.header(forwardedByHeader) !== undefined
         )
-          return answerNoPrimary(context, 'no primary is currently known', 'no');
+          return answerNoPrimary(context, 'no primary is known just now', 'no');
         const headers = Object.fromEntries(
           Object.entries(context.req.header()).filter(([name]) => !hopByHopHeaders.has(name)),
         );
-        if (!needs.isConnected(primary)) return answerNoPrimary(context, 'the primary is unreachable', 'no');
+        if (!needs.isConnected(primary)) return answerNoPrimary(context, 'the primary is out of reach', 'no');
         const { method } = context.req;
         const linkDown = new AbortController();
         const watch = Timer.every(linkCheckIntervalMs, () => {
-          if (!needs.isConnected(primary)) linkDown.abort(Failure.of('link', 'the primary is unreachable'));
+          if (!needs.isConnected(primary)) linkDown.abort(Failure.of('link', 'the primary is out of reach'));
         });
         const { pathname, search } = new URL(context.req.url);
         try {
--- a/src/control/primary-gateway.ts
+++ b/src/control/primary-gateway.ts
@@ -62,7 +62,7 @@
   const expired = new Promise<never>((_resolve, reject) => {
     const timeout = Timer.after(responseTimeoutMs, () => reject(errorFor('not confirmed in time')));
     const contactTimer = Timer.every(contactCheckIntervalMs, () => {
-      if (!hasContact()) reject(errorFor('no contact with a majority'));
+      if (!hasContact()) reject(errorFor('no majority is in touch'));
     });
     stop = () => {
       timeout.stop();
@@ -129,7 +129,7 @@
     };
     const requireContact = (primary: Primary) => {
       if (leading() !== primary) throw unconfirmed('another term has begun', 'no');
-      if (!hasContact(primary)) throw unconfirmed('no contact with a majority', 'no');
+      if (!hasContact(primary)) throw unconfirmed('no majority is in touch', 'no');
     };
     const isSettledAt = (primary: Primary) => State.isSettled(primary.state(), primary.term().formed);
     const confirmWithDeadline = async (primary: Primary): Promise<State> => {
--- a/src/control/queries/read-directory.ts
+++ b/src/control/queries/read-directory.ts
@@ -47,6 +47,6 @@
     const proxies = ReadDirectory.find(needs, zone);
     return proxies
       ? { status: 200, body: { proxies, ttl: ttlMs } }
-      : Responses.unconfirmed('no_proxy', 'no ready proxy is currently known', 'no');
+      : Responses.unconfirmed('no_proxy', 'no ready proxy is known just now', 'no');
   },
 };
--- a/src/manifest/check.ts
+++ b/src/manifest/check.ts
@@ -38,7 +38,7 @@
       ['instance', group.identity?.instance],
     ] as const)
       if (location && (location.header === undefined) === (location.pointer === undefined))
-        Guard.report(findings, `${place}/identity/${field}`, 'must have either header or pointer');
+        Guard.report(findings, `${place}/identity/${field}`, 'must name one of header and pointer');
   }
 };
 
@@ -65,7 +65,7 @@
   if (rule.weights === undefined) return;
   for (const name of Object.keys(rule.weights))
     if (!rule.groups.some((group) => group === name))
-      Guard.report(findings, `${place}/weights/${name}`, 'is not a group of this rule');
+      Guard.report(findings, `${place}/weights/${name}`, 'is no group of this rule');
   const sum = rule.groups.reduce((total, group) => total + (rule.weights?.[group] ?? 0), 0);
   if (sum <= 0) Guard.report(findings, `${place}/weights`, 'must sum to more than 0');
 };
@@ -112,30 +112,30 @@
     teams.forEach((team, index) => {
       const other = ownerOfTeam.get(team);
       if (other !== undefined && other !== name)
-        Guard.report(findings, `${place}/teams/${index}`, `already belongs to owner ${other}`);
+        Guard.report(findings, `${place}/teams/${index}`, `is already behind the wall of ${other}`);
       ownerOfTeam.set(team, name);
     });
   }
   for (const [name, { kind, wall }] of Object.entries(document.groups)) {
     const place = `/groups/${name}/wall`;
     if (!wall && walls && kind === 'model')
-      Guard.report(findings, place, 'is missing: set how its servers isolate prompt caches, or none');
-    if (wall && !walls) Guard.report(findings, place, 'has no effect without /walls');
+      Guard.report(findings, place, 'is missing: say how its servers keep walls, or that they keep none');
+    if (wall && !walls) Guard.report(findings, place, 'is of no use without /walls');
     if (!wall || !walls) continue;
     if (wall.by === 'header' && wall.name === undefined)
-      Guard.report(findings, `${place}/name`, 'is missing: the salt needs the name of a header');
+      Guard.report(findings, `${place}/name`, 'is missing for a wall by header');
     if (wall.by === 'none' && wall.name !== undefined)
-      Guard.report(findings, `${place}/name`, 'has no effect for servers that do not isolate tenants');
+      Guard.report(findings, `${place}/name`, 'is of no use for servers that keep no walls');
     if (wall.by !== 'none' && wall.for !== undefined)
-      Guard.report(findings, `${place}/for`, 'has no effect for servers that isolate tenants');
+      Guard.report(findings, `${place}/for`, 'is of no use for servers that keep walls');
     if (wall.for !== undefined && ownerOfTeam.has(wall.for))
-      Guard.report(findings, `${place}/for`, `belongs to owner ${ownerOfTeam.get(wall.for)}: name the owner`);
+      Guard.report(findings, `${place}/for`, `is behind the wall of ${ownerOfTeam.get(wall.for)}: name that`);
     else if (wall.for !== undefined && !isTeam(wall.for) && !Object.hasOwn(walls.owners ?? {}, wall.for))
       Guard.report(findings, `${place}/for`, `names no team and no owner: ${wall.for}`);
   }
   document.rules.forEach((rule, index) => {
     if (rule.wall !== undefined && !walls)
-      Guard.report(findings, `/rules/${index}/wall`, 'has no effect without /walls');
+      Guard.report(findings, `/rules/${index}/wall`, 'is of no use without /walls');
   });
 };
 
--- a/src/manifest/wall-change.ts
+++ b/src/manifest/wall-change.ts
@@ -78,7 +78,7 @@
         Guard.report(
           findings,
           `/groups/${name}/wall`,
-          'servers of this group may hold work of others; use a new group name',
+          'servers of this group may hold work of others; name a new group',
         );
     }
     if (findings.length > 0) return { kind: 'bad', findings };
--- a/src/proxy/filters/admit.ts
+++ b/src/proxy/filters/admit.ts
@@ -62,13 +62,10 @@
   return Object.entries(match.headers ?? {}).every(([name, value]) => headers[name] === value);
 };
 
-const crowded = Responses.unavailable('crowded', 'this proxy is at its limit of concurrent requests');
-const noManifest = Responses.unavailable('no_manifest', 'this proxy has not received a manifest yet');
-const noKey: Responses = { status: 401, code: 'invalid_api_key', text: 'the API key is missing or unknown' };
-const unknownIsolation = Responses.unavailable(
-  'no_wall',
-  'the cache isolation of this tenant cannot be determined',
-);
+const crowded = Responses.unavailable('crowded', 'this proxy serves as many requests as it may');
+const noManifest = Responses.unavailable('no_manifest', 'no manifest is in force here yet');
+const noKey: Responses = { status: 401, code: 'invalid_api_key', text: 'the key is missing or unknown' };
+const unknownIsolation = Responses.unavailable('no_wall', 'the wall around this tenant can’t be told');
 
 /** Identifies the team and its cache isolation, or returns the refusal. */
 const identify = (needs: Filter.Dependencies, call: Call): Responses | undefined => {
@@ -103,7 +100,7 @@
 const tooSlow: Responses = {
   status: 408,
   code: 'body_too_slow',
-  text: 'the request body did not arrive within the total timeout',
+  text: 'the body did not come in the time that the whole request has',
 };
 
 const receiveBody = async (call: Call, candidates: readonly Compiled.Rule[]): Promise<Filter.Step> => {
@@ -121,7 +118,7 @@
     return Responses.refuse(call, {
       status: 400,
       code: 'bad_json',
-      text: 'the request body is not a JSON object',
+      text: 'the body is no JSON object',
     });
   call.prompt = prompt;
   return 'next';
--- a/src/proxy/filters/attempt.ts
+++ b/src/proxy/filters/attempt.ts
@@ -218,11 +218,11 @@
 
 const noIsolatingServer = Responses.unavailable(
   'no_wall',
-  'no server of this rule provides cache isolation for this tenant',
+  'no servers of this rule keep the wall around this tenant',
 );
 const shareExceeded = Responses.unavailable(
   'crowded',
-  'the servers are near capacity and your team already uses its share of them',
+  'the servers are crowded and your team holds its part of them',
 );
 
 /** Counts the call against the team's share of the servers until its response has ended. */
--- a/src/proxy/filters/commit.ts
+++ b/src/proxy/filters/commit.ts
@@ -21,10 +21,10 @@
 type ServerStream = Extract<Tries, { kind: 'stream' }>;
 
 const reasonTexts: Partial<Record<Tries.Reason, string>> = {
-  no_server: 'no server is currently available for this request',
-  budget: 'the retry budget is exhausted',
-  refused: 'the servers refused the request',
-  total: 'the total timeout of the request expired',
+  no_server: 'no server may run this request just now',
+  budget: 'the share of extra tries is used up',
+  refused: 'the servers tried refused it',
+  total: 'the request ran out of time',
 };
 
 /** Error codes on the wire that differ from the internal reason. */
@@ -73,7 +73,7 @@
     return Responses.refuse(call, {
       status: 502,
       code: 'no_promise',
-      text: `a server answered ${trial.status} without stating that it had not run the request`,
+      text: `a server answered ${trial.status} and did not say that it had not run the request`,
       ran: 'unknown',
       tries,
     });
--- a/src/proxy/filters/home.ts
+++ b/src/proxy/filters/home.ts
@@ -25,13 +25,13 @@
       return Responses.refuse(call, {
         status: 400,
         code: 'unknown_home',
-        text: name === undefined ? 'neither the request nor its team specifies a home' : 'unknown home',
+        text: name === undefined ? 'neither the request nor its team names a home' : 'the home is not known',
       });
     if (team.homes && !team.homes.some((one) => one === name))
       return Responses.refuse(call, {
         status: 403,
         code: 'forbidden_home',
-        text: 'the team may not use this home',
+        text: 'the home is not among those of the team',
       });
     call.regions = regions;
     return 'next';
--- a/src/proxy/filters/match-rule.ts
+++ b/src/proxy/filters/match-rule.ts
@@ -40,7 +40,7 @@
   Responses.refuse(call, {
     status: 400,
     code: 'bad_timeouts',
-    text: `${timeoutsHeader} must be a list of name=milliseconds, with names from ${Object.keys(rule.timeouts).join(', ')}`,
+    text: `${timeoutsHeader} must read name=milliseconds, with names out of ${Object.keys(rule.timeouts).join(', ')}`,
   });
 
 /** Creates the match-rule filter. */
@@ -51,7 +51,7 @@
       return Responses.refuse(call, {
         status: 404,
         code: 'no_rule',
-        text: 'no rule matches this path, method, model and team',
+        text: 'no rule takes this path, method, model and team',
       });
     if ((call.body?.length ?? 0) > rule.maxBodyBytes)
       return Responses.refuse(call, Responses.bodyTooLong(rule.maxBodyBytes));
--- a/src/proxy/filters/quota.ts
+++ b/src/proxy/filters/quota.ts
@@ -17,7 +17,7 @@
     return Responses.refuse(call, {
       status: 429,
       code: 'over_quota',
-      text: 'your team has exceeded its quota',
+      text: 'your team has used up its quota for now',
       retryAfter: admitted.retryAfter,
     });
   }
--- a/src/proxy/filters/target.ts
+++ b/src/proxy/filters/target.ts
@@ -42,7 +42,7 @@
     return Responses.refuse(call, {
       status: 400,
       code: 'bad_target',
-      text: 'a request must have exactly one valid Host header and a path as its target',
+      text: 'a request names one host, and its target is a path',
     });
   },
 };
--- a/src/proxy/responses.ts
+++ b/src/proxy/responses.ts
@@ -46,7 +46,7 @@
   bodyTooLong: (maxBytes: number): Responses => ({
     status: 413,
     code: 'body_too_long',
-    text: `the request body exceeds ${maxBytes} bytes`,
+    text: `the body is longer than ${maxBytes} bytes`,
   }),
   /** Answers with an error; if a response has already started, closes the connection instead. */
   refuse(call: Call, response: Responses): 'answered' {
--- a/src/proxy/server.ts
+++ b/src/proxy/server.ts
@@ -90,7 +90,7 @@
   // Without a listener, a late write to a disconnected client would crash the process.
   outgoing.on('error', () => {});
   outgoing.once('close', () => {
-    if (!outgoing.writableFinished) abort.abort(Failure.of('left', 'the client closed the connection'));
+    if (!outgoing.writableFinished) abort.abort(Failure.of('left', 'the client left'));
   });
   const requestInfo = dialect.parse(incoming.headers);
   return {
@@ -118,7 +118,7 @@
   Responses.refuse(call, {
     status: call.attemptResult === undefined ? 500 : 502,
     code: 'internal',
-    text: 'internal error in the proxy',
+    text: 'something went wrong here',
     ran: 'unknown',
   });
 };
--- a/test/walls-manifest.test.ts
+++ b/test/walls-manifest.test.ts
@@ -34,10 +34,10 @@
     assert.deepEqual(findingsOf({}), []);
     const cases: readonly (readonly [object, RegExp])[] = [
       [withSmallGroup(undefined), /^\/groups\/small\/wall is missing/],
-      [{ walls: undefined }, /^\/groups\/llm\/wall has no effect/],
+      [{ walls: undefined }, /^\/groups\/llm\/wall is of no use/],
       [withSmallGroup({ by: 'header' }), /^\/groups\/small\/wall\/name is missing/],
-      [withSmallGroup({ by: 'none', name: 'x' }), /^\/groups\/small\/wall\/name has no effect/],
-      [withSmallGroup({ ...field, for: 'testers' }), /^\/groups\/small\/wall\/for has no effect/],
+      [withSmallGroup({ by: 'none', name: 'x' }), /^\/groups\/small\/wall\/name is of no use/],
+      [withSmallGroup({ ...field, for: 'testers' }), /^\/groups\/small\/wall\/for is of no use/],
       [withSmallGroup({ by: 'none', for: 'nobody' }), /^\/groups\/small\/wall\/for names no team/],
       [withSmallGroup({ by: 'guess' }), /^\/groups\/small\/wall\/by must be one of/],
       [{ walls: { generation: 0 } }, /^\/walls\/generation must be at least 1/],
@@ -49,21 +49,21 @@
       [{ walls: { generation: 1, owners: { others: { teams: ['testers'] } } } }, /is the name of a team/],
       [
         { walls: { generation: 1, owners: { o: { teams: ['testers'] }, p: { teams: ['testers'] } } } },
-        /^\/walls\/owners\/p\/teams\/0 already belongs to owner o/,
+        /^\/walls\/owners\/p\/teams\/0 is already behind the wall of o/,
       ],
       [
         withSmallGroup(
           { by: 'none', for: 'testers' },
           { walls: { generation: 1, owners: { o: { teams: ['testers'] } } } },
         ),
-        /^\/groups\/small\/wall\/for belongs to owner o/,
+        /^\/groups\/small\/wall\/for is behind the wall of o/,
       ],
     ];
     for (const [more, expected] of cases) assert.match(findingsOf(more)[0] ?? 'no finding', expected);
     const shared = [{ ...good.rules[0], wall: 'shared' }];
     assert.match(
       findingsOf({ ...Bench.manifest, walls: undefined, rules: shared }).join(),
-      /\/rules\/0\/wall has no effect without \/walls/,
+      /\/rules\/0\/wall is of no use without \/walls/,
     );
   });
 
